--- a/fennelpoint/standins/core_machines.py
+++ b/fennelpoint/standins/core_machines.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from fennelpoint.fleet.register import Keeper
+from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.roll.desk import Desk
-from fennelpoint.system.span.core_session import CoreSession
 from fennelpoint.system.writ.keeper import Store
 
 
--- a/fennelpoint/standins/core_world.py
+++ b/fennelpoint/standins/core_world.py
@@ -23,11 +23,11 @@
 from fennelpoint.system.actions import Send, Violation
 from fennelpoint.system.frames import Unpacker, pack
 from fennelpoint.system.mesh import ip_of, name
+from fennelpoint.system.proxy.core_session import CoreSession
+from fennelpoint.system.proxy.session_actions import Apply, Hold, Units
 from fennelpoint.system.roll import desk as roll
 from fennelpoint.system.roll.desk import Desk
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.span.core_session import CoreSession
-from fennelpoint.system.span.session_actions import Apply, Hold, Units
 from fennelpoint.system.web import Asking, Reply
 from fennelpoint.system.writ import keeper as writ
 from fennelpoint.system.writ.keeper import Store
--- a/fennelpoint/standins/retry_histories.py
+++ b/fennelpoint/standins/retry_histories.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from fennelpoint.standins.retry_world import FAILURES, SERVICES, RetryWorld
-from fennelpoint.system.span.decider import Decider
+from fennelpoint.system.proxy.controller import Decider
 
 RESTS = (5.0, 30.0, 60.0, 600.0, 3600.0)  # s
 KINDS = (
--- a/fennelpoint/standins/retry_world.py
+++ b/fennelpoint/standins/retry_world.py
@@ -16,12 +16,12 @@
 from fennelpoint.standins.retry_rule import RetryCounter
 from fennelpoint.system.actions import Send
 from fennelpoint.system.mesh import name
+from fennelpoint.system.proxy.controller import Decider
+from fennelpoint.system.proxy.core_session import CoreSession
+from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeaseExtended, RetryRule, leased_shares
+from fennelpoint.system.proxy.session_actions import Extend, Lend
 from fennelpoint.system.roll.allocator import HOLD, Allocator
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.span.core_session import CoreSession
-from fennelpoint.system.span.decider import Decider
-from fennelpoint.system.span.events import BackendPlaces, Catalogue, LeaseExtended, RetryRule, leased_shares
-from fennelpoint.system.span.session_actions import Extend, Lend
 
 TICK = 0.05  # s between looks of a session at its clock
 CORE = name("roll", "core")
--- a/fennelpoint/system/__main__.py
+++ b/fennelpoint/system/__main__.py
@@ -31,7 +31,7 @@
     """Run one program until it is told to stop."""
     loop = asyncio.get_running_loop()
     if role == "span":
-        from fennelpoint.system.span.program import Program
+        from fennelpoint.system.proxy.program import Program
     elif role == "roll":
         from fennelpoint.system.roll.program import Program
     else:
--- a/fennelpoint/system/span/decider.py
+++ b/fennelpoint/system/proxy/controller.py
@@ -13,8 +13,7 @@
 from fennelpoint import interface as api
 from fennelpoint.cells.confined import CelledController
 from fennelpoint.state import Try
-from fennelpoint.system.span.brief_waiting import MOST_ADVICE, BriefWaiting
-from fennelpoint.system.span.events import (
+from fennelpoint.system.proxy.events import (
     BackendPlaces,
     Catalogue,
     LeasedShares,
@@ -22,9 +21,10 @@
     RetryRule,
     UnitsGranted,
 )
-from fennelpoint.system.span.leased_quotas import LeasedQuotas
-from fennelpoint.system.span.placement import NearestBackend
-from fennelpoint.system.span.retry_budget import RetryBudget
+from fennelpoint.system.proxy.leased_quotas import LeasedQuotas
+from fennelpoint.system.proxy.placement import NearestBackend
+from fennelpoint.system.proxy.queue_timeout import MOST_ADVICE, BriefWaiting
+from fennelpoint.system.proxy.retry_budget import RetryBudget
 from fennelpoint.upkeep import allowed
 
 
--- a/fennelpoint/system/span/host.py
+++ b/fennelpoint/system/proxy/controller_host.py
@@ -7,7 +7,7 @@
 from fennelpoint import interface as api
 from fennelpoint.net.backends import Answer, Backends, Exchange, UpstreamConnection
 from fennelpoint.net.host import Host, Ticket
-from fennelpoint.system.span.events import UnitsNeeded
+from fennelpoint.system.proxy.events import UnitsNeeded
 
 KEPT_PART = 0.6     # of the time that a backend keeps an idle connection
 OVER = 429
--- a/fennelpoint/system/span/core_session.py
+++ b/fennelpoint/system/proxy/core_session.py
@@ -12,12 +12,12 @@
 from fennelpoint.system.actions import Send
 from fennelpoint.system.incarnation import first_number
 from fennelpoint.system.mesh import ip_of, name
+from fennelpoint.system.proxy.config_fetch import ContentRequests
+from fennelpoint.system.proxy.core_choice import CoreChoice
+from fennelpoint.system.proxy.session_actions import Apply, Extend, Hold, Lend, Parts, Refresh, Units
 from fennelpoint.system.roll.grants import DRAW_LIFE, GRANT_LIFE
 from fennelpoint.system.roll.view import Backends, Told
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.span.content_requests import ContentRequests
-from fennelpoint.system.span.core_choice import CoreChoice
-from fennelpoint.system.span.session_actions import Apply, Extend, Hold, Lend, Parts, Refresh, Units
 from fennelpoint.system.spread import preference
 
 RENEW = 0.5         # s between asks
--- a/fennelpoint/system/span/events.py
+++ b/fennelpoint/system/proxy/events.py
@@ -10,8 +10,8 @@
 from math import inf
 
 from fennelpoint import interface as api
+from fennelpoint.system.proxy.session_actions import Parts
 from fennelpoint.system.roll.grants import WHOLE
-from fennelpoint.system.span.session_actions import Parts
 
 SLACK_PART = 0.9  # of the retry rule's slack, used: the rest pays for rounding, and for delays on the way
 
--- a/fennelpoint/system/span/leased_quotas.py
+++ b/fennelpoint/system/proxy/leased_quotas.py
@@ -10,7 +10,7 @@
 from fennelpoint import interface as api
 from fennelpoint.quotas import EVEN, Quotas
 from fennelpoint.state import Customer, Try
-from fennelpoint.system.span.events import UnitsGranted
+from fennelpoint.system.proxy.events import UnitsGranted
 from fennelpoint.upkeep import Ground
 
 FRESH = 1.0         # s of an own share that a process has saved up when it begins
--- a/fennelpoint/system/span/placement.py
+++ b/fennelpoint/system/proxy/placement.py
@@ -9,7 +9,7 @@
 from fennelpoint.cells.confined import Confined
 from fennelpoint.selection import FIRST_GUESS
 from fennelpoint.state import Backend, Crowd, Try
-from fennelpoint.system.span.events import BackendPlaces
+from fennelpoint.system.proxy.events import BackendPlaces
 from fennelpoint.upkeep import Ground, allowed
 
 QUEUE = 1.0  # of a backend's slots, own attempts out beyond them
--- a/fennelpoint/system/span/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -20,12 +20,10 @@
 from fennelpoint.system.events import Event, say
 from fennelpoint.system.mesh import Mesh
 from fennelpoint.system.pace import Paced
-from fennelpoint.system.roll.view import DRAINING, GONE
-from fennelpoint.system.settings import Settings, address
-from fennelpoint.system.span.brief_waiting import OVER_ADVICE
-from fennelpoint.system.span.core_session import CoreSession
-from fennelpoint.system.span.decider import Decider
-from fennelpoint.system.span.events import (
+from fennelpoint.system.proxy.controller import Decider
+from fennelpoint.system.proxy.controller_host import SystemBackends, SystemHost
+from fennelpoint.system.proxy.core_session import CoreSession
+from fennelpoint.system.proxy.events import (
     BackendPlaces,
     Catalogue,
     LeaseExtended,
@@ -33,9 +31,11 @@
     UnitsGranted,
     leased_shares,
 )
-from fennelpoint.system.span.host import SystemBackends, SystemHost
-from fennelpoint.system.span.reader import SystemReader
-from fennelpoint.system.span.session_actions import Apply, Extend, Hold, Lend, Refresh, Units
+from fennelpoint.system.proxy.queue_timeout import OVER_ADVICE
+from fennelpoint.system.proxy.request_parser import SystemReader
+from fennelpoint.system.proxy.session_actions import Apply, Extend, Hold, Lend, Refresh, Units
+from fennelpoint.system.roll.view import DRAINING, GONE
+from fennelpoint.system.settings import Settings, address
 from fennelpoint.system.versions import compile_version
 from fennelpoint.system.web import Asking, Reply, Web
 
--- a/fennelpoint/system/span/brief_waiting.py
+++ b/fennelpoint/system/proxy/queue_timeout.py
@@ -4,8 +4,8 @@
 
 from fennelpoint import interface as api
 from fennelpoint.state import Try
-from fennelpoint.system.span.events import UnitsNeeded
-from fennelpoint.system.span.fair_order import FairOrder
+from fennelpoint.system.proxy.events import UnitsNeeded
+from fennelpoint.system.proxy.fair_queueing import FairOrder
 from fennelpoint.upkeep import PUMP_TOKEN, Ground
 from fennelpoint.waiting import Waiting
 
--- a/fennelpoint/system/span/reader.py
+++ b/fennelpoint/system/proxy/request_parser.py
@@ -16,7 +16,7 @@
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.host import Asked
 from fennelpoint.net.reader import BadRequest, Reader, Reply, framing
-from fennelpoint.system.span.brief_waiting import MOST_ADVICE
+from fennelpoint.system.proxy.queue_timeout import MOST_ADVICE
 from fennelpoint.system.versions import Holder, Route, Version
 
 ID = re.compile(rb"[!-~]{1,128}")
--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -4,9 +4,9 @@
 
 from fennelpoint import interface as api
 from fennelpoint.regulation import FULL_STEP, PERIOD, STEP
+from fennelpoint.system.proxy.controller import Decider
+from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeasedShares
 from fennelpoint.system.roll.allocator import Allocator
-from fennelpoint.system.span.decider import Decider
-from fennelpoint.system.span.events import BackendPlaces, Catalogue, LeasedShares
 
 S = api.Status
 
--- a/tests/system/test_core_choice.py
+++ b/tests/system/test_core_choice.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 
 from fennelpoint.system.actions import Send
-from fennelpoint.system.span.content_requests import AGAIN
-from fennelpoint.system.span.core_choice import (
+from fennelpoint.system.proxy.config_fetch import AGAIN
+from fennelpoint.system.proxy.core_choice import (
     NEXT_STAND_IN,
     SILENT,
     STAND_IN_KEPT,
@@ -13,7 +13,7 @@
     USUAL,
     CoreChoice,
 )
-from fennelpoint.system.span.core_session import HELPERS, CoreSession
+from fennelpoint.system.proxy.core_session import HELPERS, CoreSession
 
 REGIONS = {"za": "ra", "zb": "rb", "zc": "rc"}
 CORE = {f"{zone}{number}": zone for zone in REGIONS for number in range(4)}
--- a/tests/system/test_core_session.py
+++ b/tests/system/test_core_session.py
@@ -1,8 +1,8 @@
 """A proxy's ties to the core: what it says of a lease that ended."""
 
 from fennelpoint.system.actions import Send
-from fennelpoint.system.span.core_session import CoreSession
-from fennelpoint.system.span.session_actions import Hold
+from fennelpoint.system.proxy.core_session import CoreSession
+from fennelpoint.system.proxy.session_actions import Hold
 
 CORE = "roll@a"
 
--- a/tests/system/test_fair_order.py
+++ b/tests/system/test_fair_order.py
@@ -1,6 +1,6 @@
 """Levels of worth that are served too seldom go first: when, until when, and what is kept of them."""
 
-from fennelpoint.system.span.fair_order import FLOOR, HALF, LEAST_COUNT, MOST_LEVELS, FairOrder
+from fennelpoint.system.proxy.fair_queueing import FLOOR, HALF, LEAST_COUNT, MOST_LEVELS, FairOrder
 
 HIGH, LOW = 3.0, 1.0
 BORN = 100.0
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -13,13 +13,13 @@
 from fennelpoint.standins.core_machines import Broken
 from fennelpoint.standins.core_world import play
 from fennelpoint.system.incarnation import first_number, same_life
+from fennelpoint.system.proxy import core_session
+from fennelpoint.system.proxy.core_session import CoreSession
+from fennelpoint.system.proxy.session_actions import Hold
 from fennelpoint.system.roll import desk, duty
 from fennelpoint.system.roll.allocator import Allocator
 from fennelpoint.system.roll.duty import SPAN, Duty
 from fennelpoint.system.roll.grants import GRANT_LIFE, WHOLE
-from fennelpoint.system.span import core_session
-from fennelpoint.system.span.core_session import CoreSession
-from fennelpoint.system.span.session_actions import Hold
 from fennelpoint.system.writ import keeper
 from fennelpoint.system.writ.keeper import FOUNDED, KEY, Send, Store
 from fennelpoint.system.writ.world import empty
--- a/tests/system/test_parts.py
+++ b/tests/system/test_parts.py
@@ -14,6 +14,9 @@
     rule,
 )
 
+from fennelpoint.system.proxy.core_session import CoreSession
+from fennelpoint.system.proxy.placement import SECOND
+from fennelpoint.system.proxy.session_actions import Units
 from fennelpoint.system.roll import allocator as allocator_module
 from fennelpoint.system.roll.allocator import (
     FORGET,
@@ -28,9 +31,6 @@
 from fennelpoint.system.roll.grants import DRAW_LIFE, GRANT_LIFE, WHOLE, Grant
 from fennelpoint.system.roll.lent import Thing, most_in_use
 from fennelpoint.system.roll.roster import Roster
-from fennelpoint.system.span.core_session import CoreSession
-from fennelpoint.system.span.placement import SECOND
-from fennelpoint.system.span.session_actions import Units
 from fennelpoint.system.writ.world import dismiss, empty, enrol, lead
 
 FRONTS, RATES = ("f1", "f2", "f3"), {"t1": 20.0, "t2": 3.0}
--- a/tests/system/test_reused_addresses.py
+++ b/tests/system/test_reused_addresses.py
@@ -10,8 +10,8 @@
 from fennelpoint import interface as api
 from fennelpoint.bodies import Budget
 from fennelpoint.net.backends import Exchange
-from fennelpoint.system.span.host import SystemBackends
-from fennelpoint.system.span.reader import SystemReader
+from fennelpoint.system.proxy.controller_host import SystemBackends
+from fennelpoint.system.proxy.request_parser import SystemReader
 from fennelpoint.system.versions import Version
 
 S = api.Status
--- a/tests/system/test_span.py
+++ b/tests/system/test_span.py
@@ -11,9 +11,9 @@
 from fennelpoint.net.backends import Exchange
 from fennelpoint.net.driver import Clock
 from fennelpoint.net.reader import BadRequest, Reply
-from fennelpoint.system.span.brief_waiting import HELD_PART
-from fennelpoint.system.span.decider import Decider
-from fennelpoint.system.span.events import (
+from fennelpoint.system.proxy.controller import Decider
+from fennelpoint.system.proxy.controller_host import SystemBackends
+from fennelpoint.system.proxy.events import (
     BackendPlaces,
     Catalogue,
     LeasedShares,
@@ -22,8 +22,8 @@
     UnitsGranted,
     UnitsNeeded,
 )
-from fennelpoint.system.span.host import SystemBackends
-from fennelpoint.system.span.reader import SystemReader
+from fennelpoint.system.proxy.queue_timeout import HELD_PART
+from fennelpoint.system.proxy.request_parser import SystemReader
 from fennelpoint.system.versions import Version
 
 S = api.Status
--- a/tests/system/test_spread.py
+++ b/tests/system/test_spread.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fennelpoint.system.span.core_session import NEXT_SEED, CoreSession
+from fennelpoint.system.proxy.core_session import NEXT_SEED, CoreSession
 from fennelpoint.system.spread import preference
 
 REGIONS = {"za": "ra", "zb": "rb", "zc": "rc", "zd": "ra", "ze": "rb", "zf": "rc"}
--- a/tests/system/test_whose_answer.py
+++ b/tests/system/test_whose_answer.py
@@ -10,7 +10,7 @@
 from fennelpoint.net.backends import Answer, Exchange
 from fennelpoint.net.host import Asked, Ticket
 from fennelpoint.system.calls import find
-from fennelpoint.system.span.host import SystemBackends, SystemHost
+from fennelpoint.system.proxy.controller_host import SystemBackends, SystemHost
 from fennelpoint.system.web import Asking, Reply, Visit, Web
 
 S = api.Status
