--- a/benchmarks/allocation.py
+++ b/benchmarks/allocation.py
@@ -12,7 +12,7 @@
 import time
 from random import Random
 
-from fennelpoint.system.roll.allocator import Allocator
+from fennelpoint.system.registry.allocator import Allocator
 
 REGIONS = ("ra", "rb", "rc")
 TERM = [1, "a"]
--- a/fennelpoint/standins/core_rules.py
+++ b/fennelpoint/standins/core_rules.py
@@ -8,7 +8,7 @@
 from fennelpoint.standins.core_calls import STEP, TENANTS
 from fennelpoint.standins.core_machines import Broken, Core, Front
 from fennelpoint.system.proxy.placement import SECOND
-from fennelpoint.system.roll.grants import WHOLE
+from fennelpoint.system.registry.grants import WHOLE
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.writ import keeper as writ
 from fennelpoint.system.writ.orders import needed
--- a/fennelpoint/standins/core_world.py
+++ b/fennelpoint/standins/core_world.py
@@ -25,8 +25,8 @@
 from fennelpoint.system.mesh import ip_of, name
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.session_actions import Apply, Hold, Units
-from fennelpoint.system.roll import desk as roll
-from fennelpoint.system.roll.desk import Desk
+from fennelpoint.system.registry import state_machine as roll
+from fennelpoint.system.registry.state_machine import Desk
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.web import Asking, Reply
 from fennelpoint.system.writ import keeper as writ
--- a/fennelpoint/standins/retry_world.py
+++ b/fennelpoint/standins/retry_world.py
@@ -20,7 +20,7 @@
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeaseExtended, RetryRule, leased_shares
 from fennelpoint.system.proxy.session_actions import Extend, Lend
-from fennelpoint.system.roll.allocator import HOLD, Allocator
+from fennelpoint.system.registry.allocator import HOLD, Allocator
 from fennelpoint.system.settings import Bounds
 
 TICK = 0.05  # s between looks of a session at its clock
--- a/fennelpoint/system/__main__.py
+++ b/fennelpoint/system/__main__.py
@@ -33,7 +33,7 @@
     if role == "span":
         from fennelpoint.system.proxy.program import Program
     elif role == "roll":
-        from fennelpoint.system.roll.program import Program
+        from fennelpoint.system.registry.program import Program
     else:
         from fennelpoint.system.writ.program import Program
     program = Program(loop, settings)
--- a/fennelpoint/system/proxy/core_session.py
+++ b/fennelpoint/system/proxy/core_session.py
@@ -15,8 +15,8 @@
 from fennelpoint.system.proxy.config_fetch import ContentRequests
 from fennelpoint.system.proxy.core_choice import CoreChoice
 from fennelpoint.system.proxy.session_actions import Apply, Extend, Hold, Lend, Parts, Refresh, Units
-from fennelpoint.system.roll.grants import DRAW_LIFE, GRANT_LIFE
-from fennelpoint.system.roll.view import Backends, Told
+from fennelpoint.system.registry.backend_table import Backends, Told
+from fennelpoint.system.registry.grants import DRAW_LIFE, GRANT_LIFE
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.spread import preference
 
--- a/fennelpoint/system/proxy/events.py
+++ b/fennelpoint/system/proxy/events.py
@@ -11,7 +11,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.system.proxy.session_actions import Parts
-from fennelpoint.system.roll.grants import WHOLE
+from fennelpoint.system.registry.grants import WHOLE
 
 SLACK_PART = 0.9  # of the retry rule's slack, used: the rest pays for rounding, and for delays on the way
 
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -34,7 +34,7 @@
 from fennelpoint.system.proxy.queue_timeout import OVER_ADVICE
 from fennelpoint.system.proxy.request_parser import SystemReader
 from fennelpoint.system.proxy.session_actions import Apply, Extend, Hold, Lend, Refresh, Units
-from fennelpoint.system.roll.view import DRAINING, GONE
+from fennelpoint.system.registry.backend_table import DRAINING, GONE
 from fennelpoint.system.settings import Settings, address
 from fennelpoint.system.versions import compile_version
 from fennelpoint.system.web import Asking, Reply, Web
--- a/fennelpoint/system/roll/allocation_duty.py
+++ b/fennelpoint/system/registry/allocation_leader.py
@@ -11,11 +11,11 @@
 
 from fennelpoint.system.actions import Note
 from fennelpoint.system.mesh import ip_of, name
-from fennelpoint.system.roll.allocator import HOLD, Allocator
-from fennelpoint.system.roll.duty import Duty
-from fennelpoint.system.roll.figures import ColdBackends, Figures
-from fennelpoint.system.roll.roster import Roster
-from fennelpoint.system.roll.view import Backends
+from fennelpoint.system.registry.allocation_parameters import ColdBackends, Figures
+from fennelpoint.system.registry.allocator import HOLD, Allocator
+from fennelpoint.system.registry.backend_table import Backends
+from fennelpoint.system.registry.leader_lease import Duty
+from fennelpoint.system.registry.proxy_enrollment import Roster
 from fennelpoint.system.settings import Bounds
 
 LEAD_AGAIN = 3.8  # s for the store to number a term: it tells before, unless it has ended
--- a/fennelpoint/system/roll/figures.py
+++ b/fennelpoint/system/registry/allocation_parameters.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from fennelpoint.system.roll.view import READY, Backend
+from fennelpoint.system.registry.backend_table import READY, Backend
 from fennelpoint.system.settings import Bounds
 
 COLD_PART = 0.9  # of what a cold backend bears, lent out
--- a/fennelpoint/system/roll/allocator.py
+++ b/fennelpoint/system/registry/allocator.py
@@ -14,9 +14,9 @@
 
 from fennelpoint.invariants import Invariant
 from fennelpoint.system.actions import Violation
-from fennelpoint.system.roll.census import Census
-from fennelpoint.system.roll.grants import COLD_AFTER, GRANT_LIFE, WHOLE, Grant
-from fennelpoint.system.roll.lent import SLACK_THING, Lent, Thing, most_in_use
+from fennelpoint.system.registry.grants import COLD_AFTER, GRANT_LIFE, WHOLE, Grant
+from fennelpoint.system.registry.live_proxies import Census
+from fennelpoint.system.registry.outstanding_grants import SLACK_THING, Lent, Thing, most_in_use
 
 SLACK = 0.4         # s more that it counts here
 HOLD = 1.0          # s since a read of its own term that a reckoner may lend: one before us may, so long after us
--- a/fennelpoint/system/roll/directory.py
+++ b/fennelpoint/system/registry/directory.py
@@ -17,7 +17,7 @@
 
 from fennelpoint.invariants import Invariant
 from fennelpoint.system.actions import Note, Violation
-from fennelpoint.system.roll.membership import Member, Members
+from fennelpoint.system.registry.membership import Member, Members
 
 FRESH = 1.8  # s without an ask after which a proxy is left out
 WHOLE_AFTER = 1.8  # s in touch with a majority after which the view holds every proxy that lives: asks and gossip
--- a/fennelpoint/system/roll/office.py
+++ b/fennelpoint/system/registry/operator_handlers.py
@@ -12,11 +12,11 @@
 from result import Err, Result
 
 from fennelpoint.system import versions
-from fennelpoint.system.roll.allocation_duty import AllocationDuty
-from fennelpoint.system.roll.duty import SPAN
-from fennelpoint.system.roll.membership import Members
-from fennelpoint.system.roll.view import DRAINING, Backends
-from fennelpoint.system.roll.waits import Held, fault
+from fennelpoint.system.registry.allocation_leader import AllocationDuty
+from fennelpoint.system.registry.backend_table import DRAINING, Backends
+from fennelpoint.system.registry.leader_lease import SPAN
+from fennelpoint.system.registry.membership import Members
+from fennelpoint.system.registry.pending_calls import Held, fault
 from fennelpoint.system.web import Asking, Reply
 from fennelpoint.system.writ.orders import floor_of, upgrade
 
--- a/fennelpoint/system/roll/lent.py
+++ b/fennelpoint/system/registry/outstanding_grants.py
@@ -10,7 +10,7 @@
 from heapq import heappop, heappush
 from typing import NamedTuple, Protocol
 
-from fennelpoint.system.roll.grants import COLD_AFTER, Grant
+from fennelpoint.system.registry.grants import COLD_AFTER, Grant
 
 
 class Thing(NamedTuple):
--- a/fennelpoint/system/roll/program.py
+++ b/fennelpoint/system/registry/program.py
@@ -10,8 +10,8 @@
 from fennelpoint.system.actions import Violation
 from fennelpoint.system.events import Event, say
 from fennelpoint.system.mesh import Mesh, name
-from fennelpoint.system.roll.desk import Answer, Desk, Note, Save, Send
-from fennelpoint.system.roll.disk import Disk
+from fennelpoint.system.registry.state_machine import Answer, Desk, Note, Save, Send
+from fennelpoint.system.registry.storage import Disk
 from fennelpoint.system.settings import Settings
 from fennelpoint.system.web import Asking, Reply, Web
 
--- a/fennelpoint/system/roll/roster.py
+++ b/fennelpoint/system/registry/proxy_enrollment.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from fennelpoint.system.roll.allocator import Allocator
+from fennelpoint.system.registry.allocator import Allocator
 
 PACE = 0.4          # s between enrolments
 BATCH = 5.0         # s between dismissals
--- a/fennelpoint/system/roll/desk.py
+++ b/fennelpoint/system/registry/state_machine.py
@@ -14,15 +14,15 @@
 from fennelpoint.system.leaving import Leaving, within
 from fennelpoint.system.mesh import ip_of, name
 from fennelpoint.system.pace import Paced
-from fennelpoint.system.roll.allocation_duty import MESSAGES, AllocationDuty
-from fennelpoint.system.roll.contact import Contact
-from fennelpoint.system.roll.directory import FRESH, Directory, homes_by_host
-from fennelpoint.system.roll.duty import SPAN, Duty
-from fennelpoint.system.roll.figures import ColdBackends, Figures
-from fennelpoint.system.roll.membership import Members
-from fennelpoint.system.roll.office import Office
-from fennelpoint.system.roll.view import DRAINING, GONE, LOST_AFTER, READY, SPOKE, Backends, Told
-from fennelpoint.system.roll.waits import Answer, Held, Save, fault
+from fennelpoint.system.registry.allocation_leader import MESSAGES, AllocationDuty
+from fennelpoint.system.registry.allocation_parameters import ColdBackends, Figures
+from fennelpoint.system.registry.backend_table import DRAINING, GONE, LOST_AFTER, READY, SPOKE, Backends, Told
+from fennelpoint.system.registry.directory import FRESH, Directory, homes_by_host
+from fennelpoint.system.registry.leader_lease import SPAN, Duty
+from fennelpoint.system.registry.membership import Members
+from fennelpoint.system.registry.operator_handlers import Office
+from fennelpoint.system.registry.pending_calls import Answer, Held, Save, fault
+from fennelpoint.system.registry.quorum_check import Contact
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.spread import preference
 from fennelpoint.system.web import Asking, Reply
--- a/fennelpoint/system/writ/keeper.py
+++ b/fennelpoint/system/writ/keeper.py
@@ -34,7 +34,7 @@
 from fennelpoint.system.actions import Note, Send
 from fennelpoint.system.incarnation import first_number
 from fennelpoint.system.leaving import Leaving
-from fennelpoint.system.roll.contact import DRAIN, LAG
+from fennelpoint.system.registry.quorum_check import DRAIN, LAG
 from fennelpoint.system.versions import digest as digest_of
 from fennelpoint.system.writ import orders
 from fennelpoint.system.writ.contents import Lately
--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -6,7 +6,7 @@
 from fennelpoint.regulation import FULL_STEP, PERIOD, STEP
 from fennelpoint.system.proxy.controller import Decider
 from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeasedShares
-from fennelpoint.system.roll.allocator import Allocator
+from fennelpoint.system.registry.allocator import Allocator
 
 S = api.Status
 
--- a/tests/system/test_allocation_duty.py
+++ b/tests/system/test_allocation_duty.py
@@ -4,10 +4,10 @@
 from types import SimpleNamespace
 
 from fennelpoint.system.actions import Note, Send
-from fennelpoint.system.roll.allocation_duty import AllocationDuty
-from fennelpoint.system.roll.duty import Duty
-from fennelpoint.system.roll.figures import ColdBackends
-from fennelpoint.system.roll.view import Backends
+from fennelpoint.system.registry.allocation_leader import AllocationDuty
+from fennelpoint.system.registry.allocation_parameters import ColdBackends
+from fennelpoint.system.registry.backend_table import Backends
+from fennelpoint.system.registry.leader_lease import Duty
 from fennelpoint.system.settings import Bounds
 
 BOUNDS = SimpleNamespace(quota_slack=20.0, cold_overshoot=1.5, cold_slack=10)
--- a/tests/system/test_allocator_takeover.py
+++ b/tests/system/test_allocator_takeover.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 
 from fennelpoint.invariants import Invariant
-from fennelpoint.system.roll.allocator import Allocator
-from fennelpoint.system.roll.grants import COLD_AFTER, GRANT_LIFE, Grant
+from fennelpoint.system.registry.allocator import Allocator
+from fennelpoint.system.registry.grants import COLD_AFTER, GRANT_LIFE, Grant
 
 TERM = [2, "b"]
 HOLDER, OTHER = "f1", "f2"
--- a/tests/system/test_contact.py
+++ b/tests/system/test_contact.py
@@ -12,8 +12,8 @@
 from fennelpoint.system.actions import Send
 from fennelpoint.system.calls import find
 from fennelpoint.system.proxy.core_session import CoreSession
-from fennelpoint.system.roll.contact import DRAIN, FRESH, LAG, Contact
-from fennelpoint.system.roll.desk import Answer, Desk
+from fennelpoint.system.registry.quorum_check import DRAIN, FRESH, LAG, Contact
+from fennelpoint.system.registry.state_machine import Answer, Desk
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.web import Asking
 from fennelpoint.system.writ.world import empty
--- a/tests/system/test_directory.py
+++ b/tests/system/test_directory.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fennelpoint.standins.core_world import World, play
-from fennelpoint.system.roll.directory import Homes, homes_by_host
+from fennelpoint.system.registry.directory import Homes, homes_by_host
 
 SITE = (Path(__file__).parent / "scenarios" / "site").read_text() + "front fd zd ra\nboot fd\n"
 
--- a/tests/system/test_directory_decider.py
+++ b/tests/system/test_directory_decider.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from fennelpoint.system.roll.directory import Directory, Homes
-from fennelpoint.system.roll.membership import Members
+from fennelpoint.system.registry.directory import Directory, Homes
+from fennelpoint.system.registry.membership import Members
 
 TTL, GRACE = 2.0, 6.0  # s
 LONG_IN_TOUCH, NOW = 100.0, 200.0  # s
--- a/tests/system/test_drawn_core.py
+++ b/tests/system/test_drawn_core.py
@@ -4,7 +4,7 @@
 
 from fennelpoint.standins.core_machines import Broken
 from fennelpoint.standins.drawn_core import Deployment, DrawnDay
-from fennelpoint.system.roll.allocator import Allocator
+from fennelpoint.system.registry.allocator import Allocator
 
 # Four regions, uneven zones, one region of a single zone with a single core machine.
 UNEVEN = Deployment(
--- a/tests/system/test_duty.py
+++ b/tests/system/test_duty.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from fennelpoint.system.roll.duty import SPAN, TURN, Duty
+from fennelpoint.system.registry.leader_lease import SPAN, TURN, Duty
 
 STEP = 0.01  # s between two turns of a machine
 LINE = ("a", "b", "c", "d", "e")
--- a/tests/system/test_duty_histories.py
+++ b/tests/system/test_duty_histories.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from fennelpoint.system.incarnation import first_number
-from fennelpoint.system.roll.duty import SPAN, Duty
+from fennelpoint.system.registry.leader_lease import SPAN, Duty
 
 
 class Holding(RuleBasedStateMachine):
--- a/tests/system/test_hot_day.py
+++ b/tests/system/test_hot_day.py
@@ -9,8 +9,8 @@
 from fennelpoint import interface as api
 from fennelpoint.system.proxy.controller import Decider
 from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeasedShares, UnitsGranted, UnitsNeeded
-from fennelpoint.system.roll.allocator import Allocator
-from fennelpoint.system.roll.grants import DRAW_LIFE, GRANT_LIFE
+from fennelpoint.system.registry.allocator import Allocator
+from fennelpoint.system.registry.grants import DRAW_LIFE, GRANT_LIFE
 
 TENANTS, WINDOW, SLACK, OVER = ("hot", "a", "b"), 5.0, 20.0, 0.1
 WAY, ANSWER = 0.02, 0.1     # s from a front to the reckoner; of a backend
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -16,10 +16,10 @@
 from fennelpoint.system.proxy import core_session
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.session_actions import Hold
-from fennelpoint.system.roll import desk, duty
-from fennelpoint.system.roll.allocator import Allocator
-from fennelpoint.system.roll.duty import SPAN, Duty
-from fennelpoint.system.roll.grants import GRANT_LIFE, WHOLE
+from fennelpoint.system.registry import leader_lease, state_machine
+from fennelpoint.system.registry.allocator import Allocator
+from fennelpoint.system.registry.grants import GRANT_LIFE, WHOLE
+from fennelpoint.system.registry.leader_lease import SPAN, Duty
 from fennelpoint.system.writ import keeper
 from fennelpoint.system.writ.keeper import FOUNDED, KEY, Send, Store
 from fennelpoint.system.writ.world import empty
@@ -31,9 +31,9 @@
 def fenced(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> bool:
     """Whether lives number their requests apart; else all begin at one number, as before."""
     if request.param == "planted":
-        for module in (desk, keeper, core_session):
+        for module in (state_machine, keeper, core_session):
             monkeypatch.setattr(module, "first_number", lambda incarnation: 0)
-        monkeypatch.setattr(duty, "same_life", lambda one, other: True)
+        monkeypatch.setattr(leader_lease, "same_life", lambda one, other: True)
     return request.param == "fenced"
 
 
@@ -66,7 +66,7 @@
         world.call("PUT", f"/api/instances/{id}", told, "a1", id)
 
     def begun() -> int:
-        return desk.first_number(world.cores["a1"].desk.life)
+        return state_machine.first_number(world.cores["a1"].desk.life)
 
     world.run(4.3)      # connected again: one that is not answers 503 at once
     counted = world.cores["a1"].desk.tokens - begun()
--- a/tests/system/test_pace.py
+++ b/tests/system/test_pace.py
@@ -4,8 +4,8 @@
 
 from fennelpoint.system.actions import Send
 from fennelpoint.system.pace import Paced
-from fennelpoint.system.roll.desk import Desk
-from fennelpoint.system.roll.view import READY, Told
+from fennelpoint.system.registry.backend_table import READY, Told
+from fennelpoint.system.registry.state_machine import Desk
 from fennelpoint.system.settings import Bounds
 
 
--- a/tests/system/test_parts.py
+++ b/tests/system/test_parts.py
@@ -17,8 +17,8 @@
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.placement import SECOND
 from fennelpoint.system.proxy.session_actions import Units
-from fennelpoint.system.roll import allocator as allocator_module
-from fennelpoint.system.roll.allocator import (
+from fennelpoint.system.registry import allocator as allocator_module
+from fennelpoint.system.registry.allocator import (
     FORGET,
     GIVEN,
     HOLD,
@@ -27,10 +27,10 @@
     Allocator,
     Front,
 )
-from fennelpoint.system.roll.census import Census
-from fennelpoint.system.roll.grants import DRAW_LIFE, GRANT_LIFE, WHOLE, Grant
-from fennelpoint.system.roll.lent import Thing, most_in_use
-from fennelpoint.system.roll.roster import Roster
+from fennelpoint.system.registry.grants import DRAW_LIFE, GRANT_LIFE, WHOLE, Grant
+from fennelpoint.system.registry.live_proxies import Census
+from fennelpoint.system.registry.outstanding_grants import Thing, most_in_use
+from fennelpoint.system.registry.proxy_enrollment import Roster
 from fennelpoint.system.writ.world import dismiss, empty, enrol, lead
 
 FRONTS, RATES = ("f1", "f2", "f3"), {"t1": 20.0, "t2": 3.0}
