--- a/fennelpoint/standins/core_machines.py
+++ b/fennelpoint/standins/core_machines.py
@@ -7,7 +7,7 @@
 from fennelpoint.fleet.register import Keeper
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.registry.state_machine import Desk
-from fennelpoint.system.writ.keeper import Store
+from fennelpoint.system.store.replica import Store
 
 
 class Broken(AssertionError):
--- a/fennelpoint/standins/core_rules.py
+++ b/fennelpoint/standins/core_rules.py
@@ -10,8 +10,8 @@
 from fennelpoint.system.proxy.placement import SECOND
 from fennelpoint.system.registry.grants import WHOLE
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.writ import keeper as writ
-from fennelpoint.system.writ.orders import needed
+from fennelpoint.system.store import replica as writ
+from fennelpoint.system.store.idempotency import needed
 
 COLD_MOST = 12  # tries a second that a cold backend bears
 COLD_WINDOW = 1.0  # s in which they are counted
--- a/fennelpoint/standins/core_world.py
+++ b/fennelpoint/standins/core_world.py
@@ -28,9 +28,9 @@
 from fennelpoint.system.registry import state_machine as roll
 from fennelpoint.system.registry.state_machine import Desk
 from fennelpoint.system.settings import Bounds
+from fennelpoint.system.store import replica as writ
+from fennelpoint.system.store.replica import Store
 from fennelpoint.system.web import Asking, Reply
-from fennelpoint.system.writ import keeper as writ
-from fennelpoint.system.writ.keeper import Store
 
 SILENT = 1.6        # s until a cut is seen
 BEAT = 1.5
--- a/fennelpoint/system/__main__.py
+++ b/fennelpoint/system/__main__.py
@@ -35,7 +35,7 @@
     elif role == "roll":
         from fennelpoint.system.registry.program import Program
     else:
-        from fennelpoint.system.writ.program import Program
+        from fennelpoint.system.store.program import Program
     program = Program(loop, settings)
     seen = _stamp(path)
 
--- a/fennelpoint/system/registry/operator_handlers.py
+++ b/fennelpoint/system/registry/operator_handlers.py
@@ -17,8 +17,8 @@
 from fennelpoint.system.registry.leader_lease import SPAN
 from fennelpoint.system.registry.membership import Members
 from fennelpoint.system.registry.pending_calls import Held, fault
+from fennelpoint.system.store.idempotency import floor_of, upgrade
 from fennelpoint.system.web import Asking, Reply
-from fennelpoint.system.writ.orders import floor_of, upgrade
 
 WAIT_CHANGE = 3.0   # s for the store
 BRIEF = 0.9         # s where a call must have ended before its caller sends it elsewhere, after a second of silence
--- a/fennelpoint/system/writ/contents.py
+++ b/fennelpoint/system/store/content_retention.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from fennelpoint.system.writ import orders
+from fennelpoint.system.store import idempotency
 
 EACH = 4            # contents of one proposer: it tells of what was agreed before it spreads the next
 SPREAD = 30.0       # s that one counts as on its way
@@ -21,7 +21,7 @@
            former: Iterable[tuple[str, float]], now: float) -> set[str]:
     """Digests that stay: named by values that are or may be agreed, of changes under way here, spread to us `lately`
     for rounds elsewhere, and of values that were the newest until a moment ago."""
-    return {*(digest for value in values if value for digest in orders.needed(value)),
+    return {*(digest for value in values if value for digest in idempotency.needed(value)),
             *(digest for digest in under_way if digest),
             *(digest for digest, at in lately if now - at < SPREAD),
             *(digest for digest, at in former if now - at < FORMER)}
--- a/fennelpoint/system/writ/members.py
+++ b/fennelpoint/system/store/failure_detector.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from fennelpoint.system.writ.world import Change, forget, take_place
+from fennelpoint.system.store.replicated_state import Change, forget, take_place
 
 GONE = 8.0          # s without a connection after which a voter is replaced: twice `catch_up_s`
 SUCCEEDED = 2.0     # s of the same where a successor came since: with that it is ready within `catch_up_s`
--- a/fennelpoint/system/writ/program.py
+++ b/fennelpoint/system/store/program.py
@@ -13,7 +13,7 @@
 from fennelpoint.system.leaving import within
 from fennelpoint.system.mesh import Mesh, ip_of, name
 from fennelpoint.system.settings import Settings
-from fennelpoint.system.writ.keeper import KEY, ROLL, Note, Save, SaveContent, Send, Store, Whole
+from fennelpoint.system.store.replica import KEY, ROLL, Note, Save, SaveContent, Send, Store, Whole
 
 TICK = 0.02     # s
 
--- a/fennelpoint/system/writ/keeper.py
+++ b/fennelpoint/system/store/replica.py
@@ -35,11 +35,10 @@
 from fennelpoint.system.incarnation import first_number
 from fennelpoint.system.leaving import Leaving
 from fennelpoint.system.registry.quorum_check import DRAIN, LAG
-from fennelpoint.system.versions import digest as digest_of
-from fennelpoint.system.writ import orders
-from fennelpoint.system.writ.contents import Lately
-from fennelpoint.system.writ.members import Said, Watch
-from fennelpoint.system.writ.world import (
+from fennelpoint.system.store import idempotency
+from fennelpoint.system.store.content_retention import Lately
+from fennelpoint.system.store.failure_detector import Said, Watch
+from fennelpoint.system.store.replicated_state import (
     Change,
     configure,
     dismiss,
@@ -54,6 +53,7 @@
     settle,
     stand_by,
 )
+from fennelpoint.system.versions import digest as digest_of
 
 KEY = "world"
 FOUNDED: Ballot = (0, "founded")
@@ -386,7 +386,7 @@
 
     def _lacks(self, value: dict) -> list[str]:
         """Contents that a value names and that are not on disk here."""
-        return [d for d in orders.needed(value) if d not in self.here and self.content(d) is None]
+        return [d for d in idempotency.needed(value) if d not in self.here and self.content(d) is None]
 
     def _on_store(self, peer: str, now: float, number: int, digest: str, data: bytes) -> None:
         self.lately.stored(peer, digest, now)
@@ -413,7 +413,7 @@
 
     def _want_all(self, now: float) -> None:
         """Each machine holds all contents that the newest value names."""
-        named = frozenset(orders.needed(self.world)) if self.world else frozenset()
+        named = frozenset(idempotency.needed(self.world)) if self.world else frozenset()
         if named != self.here:
             self.here = frozenset(d for d in named if d in self.here or self.content(d) is not None)
             self._want(sorted(named - self.here), now)
@@ -626,9 +626,9 @@
 
     def _put_orders_away(self, world: dict, now: float) -> None:
         """Whoever agreed a value that is full of orders has its oldest moved into a segment, in a job of its own."""
-        world = orders.upgrade(world)
+        world = idempotency.upgrade(world)
         under_way = any(job.own and job.change.digest for job in self.jobs)
-        if under_way or (made := orders.next_segment(world, self.content)) is None:
+        if under_way or (made := idempotency.next_segment(world, self.content)) is None:
             return
         moved, replaces, data = made
         segment = [moved[-1][0], digest_of(data)]
--- a/fennelpoint/system/writ/world.py
+++ b/fennelpoint/system/store/replicated_state.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from fennelpoint.fleet.register import Groups
-from fennelpoint.system.writ.orders import Content, lowest, put_away, remember, taken, upgrade
+from fennelpoint.system.store.idempotency import Content, lowest, put_away, remember, taken, upgrade
 
 MOST_VOTERS = 5
 MOST_IN_REGION = 2
--- a/tests/system/test_ballots.py
+++ b/tests/system/test_ballots.py
@@ -3,8 +3,8 @@
 from random import Random
 
 from fennelpoint.fleet.register import ZERO, Cell, Hello, Keeper, Rejoin, Round, Seen, handle
-from fennelpoint.system.writ.keeper import FOUNDED, KEY, Save, Send, Store, Whole
-from fennelpoint.system.writ.world import configure, empty, groups_of, stand_by
+from fennelpoint.system.store.replica import FOUNDED, KEY, Save, Send, Store, Whole
+from fennelpoint.system.store.replicated_state import configure, empty, groups_of, stand_by
 
 REGIONS = {"za": "ra", "zb": "rb", "zc": "rc", "zd": "ra", "ze": "rb"}
 
--- a/tests/system/test_contact.py
+++ b/tests/system/test_contact.py
@@ -15,8 +15,8 @@
 from fennelpoint.system.registry.quorum_check import DRAIN, FRESH, LAG, Contact
 from fennelpoint.system.registry.state_machine import Answer, Desk
 from fennelpoint.system.settings import Bounds
+from fennelpoint.system.store.replicated_state import empty
 from fennelpoint.system.web import Asking
-from fennelpoint.system.writ.world import empty
 
 OTHERS = ["b", "c", "d", "e"]
 
--- a/tests/system/test_contents.py
+++ b/tests/system/test_contents.py
@@ -7,9 +7,9 @@
 from fennelpoint.fleet.register import Keeper
 from fennelpoint.fleet.store import MOST_BYTES, MOST_CONTENTS, making_room
 from fennelpoint.standins.core_world import World
-from fennelpoint.system.writ.contents import FORMER, SPREAD, needed
-from fennelpoint.system.writ.keeper import ROLL, SaveContent, Send, Store
-from fennelpoint.system.writ.world import empty
+from fennelpoint.system.store.content_retention import FORMER, SPREAD, needed
+from fennelpoint.system.store.replica import ROLL, SaveContent, Send, Store
+from fennelpoint.system.store.replicated_state import empty
 
 SEEDS = ["a", "b", "c"]
 
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -20,9 +20,9 @@
 from fennelpoint.system.registry.allocator import Allocator
 from fennelpoint.system.registry.grants import GRANT_LIFE, WHOLE
 from fennelpoint.system.registry.leader_lease import SPAN, Duty
-from fennelpoint.system.writ import keeper
-from fennelpoint.system.writ.keeper import FOUNDED, KEY, Send, Store
-from fennelpoint.system.writ.world import empty
+from fennelpoint.system.store import replica
+from fennelpoint.system.store.replica import FOUNDED, KEY, Send, Store
+from fennelpoint.system.store.replicated_state import empty
 
 SCENARIOS = Path(__file__).parent / "scenarios"
 
@@ -31,7 +31,7 @@
 def fenced(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> bool:
     """Whether lives number their requests apart; else all begin at one number, as before."""
     if request.param == "planted":
-        for module in (state_machine, keeper, core_session):
+        for module in (state_machine, replica, core_session):
             monkeypatch.setattr(module, "first_number", lambda incarnation: 0)
         monkeypatch.setattr(leader_lease, "same_life", lambda one, other: True)
     return request.param == "fenced"
@@ -157,7 +157,7 @@
             if isinstance(a, Send) and a.message[0] == "peek"}
 
     def store(name: str, keeper: Keeper) -> Store:
-        return Store(name, "z", {}, ["v1", "v2", "v3"], keeper, False, {}.get, Random(1), 0.0)
+        return Store(name, "z", {}, ["v1", "v2", "v3"], replica, False, {}.get, Random(1), 0.0)
 
     def answer(one: Store) -> list:
         (sent,) = [a.message for a in one.heard("v3", asks[one.me], 0.1) if isinstance(a, Send)]
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -6,7 +6,7 @@
 from fennelpoint.standins.core_world import play
 from fennelpoint.system.leaving import LINGER, MOST, within
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.writ.keeper import REJOIN, Store
+from fennelpoint.system.store.replica import REJOIN, Store
 
 SITE = """
 core a1 za ra
--- a/tests/system/test_linearizable.py
+++ b/tests/system/test_linearizable.py
@@ -20,8 +20,8 @@
 from fennelpoint.standins.operator_plans import Errand, Plan, Trouble
 from fennelpoint.standins.operators import play
 from fennelpoint.system.actions import Send
-from fennelpoint.system.writ import keeper
-from fennelpoint.system.writ.keeper import ROLL, Store
+from fennelpoint.system.store import replica
+from fennelpoint.system.store.replica import ROLL, Store
 
 RUNS, SEED, SMALL = (os.environ.get("LARCHWING_HISTORIES", "") + "::").split(":")[:3]
 ERRANDS = ("put", "patch", "get", "snapshot", "evacuate", "restore")
@@ -126,9 +126,9 @@
 
 
 def test_two_that_are_confirmed_under_one_number_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    proper = keeper.configure
+    proper = replica.configure
 
-    def configure(version: int, *rest) -> keeper.Change:
+    def configure(version: int, *rest) -> replica.Change:
         change = proper(version, *rest)
         make = change.make
 
@@ -140,7 +140,7 @@
         change.make = lax
         return change
 
-    monkeypatch.setattr(keeper, "configure", configure)
+    monkeypatch.setattr(replica, "configure", configure)
     assert "no order fits" in found(("put", "get"), ("kill",))
 
 
--- a/tests/system/test_members.py
+++ b/tests/system/test_members.py
@@ -4,9 +4,9 @@
 
 from fennelpoint.fleet.register import Cell, Keeper
 from fennelpoint.system.actions import Send
-from fennelpoint.system.writ.keeper import FOUNDED, KEY, Store
-from fennelpoint.system.writ.members import ANSWER, FORGOTTEN, GONE, SUCCEEDED, Said, Watch
-from fennelpoint.system.writ.world import empty, take_place
+from fennelpoint.system.store.failure_detector import ANSWER, FORGOTTEN, GONE, SUCCEEDED, Said, Watch
+from fennelpoint.system.store.replica import FOUNDED, KEY, Store
+from fennelpoint.system.store.replicated_state import empty, take_place
 
 REGIONS = {"za": "ra", "zb": "rb", "zc": "rc", "zd": "ra", "ze": "rb", "zf": "rc", "zg": "ra"}
 VOTERS = {"a": "za", "b": "zb", "c": "zc", "d": "zd", "e": "ze"}
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -7,10 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from fennelpoint.system.store import idempotency
+from fennelpoint.system.store.replicated_state import configure, empty, put_orders_away, revive
 from fennelpoint.system.versions import digest, encode
 from fennelpoint.system.web import Reply, Web
-from fennelpoint.system.writ import orders
-from fennelpoint.system.writ.world import configure, empty, put_orders_away, revive
 
 STEP = st.tuples(st.sampled_from(["new", "new", "new", "old base", "again", "other bytes", "away", "deaf"]),
                  st.integers(0, 10**6))
@@ -50,7 +50,7 @@
         return status
 
     def away(self) -> None:
-        if (made := orders.next_segment(self.world, self.content)) is not None:
+        if (made := idempotency.next_segment(self.world, self.content)) is not None:
             moved, replaces, data = made
             self.contents[digest(data)] = data
             change = put_orders_away(moved, self.world["log"][-1:], [moved[-1][0], digest(data)], replaces)
@@ -63,8 +63,8 @@
 @given(steps=st.lists(STEP, min_size=60, max_size=400), segment=st.integers(16, 40), segments=st.integers(1, 4))
 def test_what_was_taken_is_never_refused_and_the_reverse(steps: list, segment: int, segments: int) -> None:
     """Small segments, so that some are let go; orders come again in any order, some where contents are missing."""
-    kept = orders.IN_SEGMENT, orders.SEGMENTS
-    orders.IN_SEGMENT, orders.SEGMENTS = segment, segments
+    kept = idempotency.IN_SEGMENT, idempotency.SEGMENTS
+    idempotency.IN_SEGMENT, idempotency.SEGMENTS = segment, segments
     try:
         m = Machines()
         for kind, number in steps:
@@ -84,9 +84,9 @@
                     m.away()
                 case "deaf":
                     m.lacks = not m.lacks
-            assert len(m.world["past"]) <= orders.MOST and len(m.world["log"]) <= segments
+            assert len(m.world["past"]) <= idempotency.MOST and len(m.world["log"]) <= segments
     finally:
-        orders.IN_SEGMENT, orders.SEGMENTS = kept
+        idempotency.IN_SEGMENT, idempotency.SEGMENTS = kept
 
 
 def test_thousands_of_orders_are_told_apart_and_the_value_stays_small() -> None:
@@ -96,10 +96,10 @@
         m.away()
         sizes.append(len(encode(m.world)))
     assert max(sizes) < 1900
-    assert len(orders.needed(m.world)) <= 1 + orders.SEGMENTS
+    assert len(idempotency.needed(m.world)) <= 1 + idempotency.SEGMENTS
     assert sum(len(m.contents[d]) for _, d in m.world["log"]) < 120_000
     began = time.perf_counter()
-    oldest = 5000 - orders.IN_SEGMENT * (orders.SEGMENTS - 1)
+    oldest = 5000 - idempotency.IN_SEGMENT * (idempotency.SEGMENTS - 1)
     assert m.world["floor"] < oldest
     for version in range(oldest, 5001, 50):
         assert m.order(version, version - 1, "x") == 200
@@ -113,7 +113,7 @@
     m = Machines()
     for version in range(1, 101):
         m.order(version, version - 1, "x")
-    assert len(m.world["past"]) == orders.MOST and m.world["floor"] == 100 - orders.MOST
+    assert len(m.world["past"]) == idempotency.MOST and m.world["floor"] == 100 - idempotency.MOST
     assert [m.order(v, v - 1, "x") for v in (36, 37)] == [503, 200]
 
 
@@ -122,7 +122,7 @@
     for version in range(1, 101):
         m.order(version, version - 1, "x")
         m.away()
-    snapshot = m.world["past"], m.world["evac"], orders.floor_of(m.world)
+    snapshot = m.world["past"], m.world["evac"], idempotency.floor_of(m.world)
     m.world = revive(100, "d", *snapshot)(empty({"a": "za"}))
     assert m.order(100, 99, "x") == 200 and m.order(4, 3, "x") == 503 and m.order(4, 3, "y") == 503
     # One of before there were floors, and a value on a disk of then.
--- a/tests/system/test_parts.py
+++ b/tests/system/test_parts.py
@@ -31,7 +31,7 @@
 from fennelpoint.system.registry.live_proxies import Census
 from fennelpoint.system.registry.outstanding_grants import Thing, most_in_use
 from fennelpoint.system.registry.proxy_enrollment import Roster
-from fennelpoint.system.writ.world import dismiss, empty, enrol, lead
+from fennelpoint.system.store.replicated_state import dismiss, empty, enrol, lead
 
 FRONTS, RATES = ("f1", "f2", "f3"), {"t1": 20.0, "t2": 3.0}
 BURST, SLACK, WINDOW = 4.0, 20.0, 5.0
