--- a/fennelpoint/standins/core_calls.py
+++ b/fennelpoint/standins/core_calls.py
@@ -8,11 +8,11 @@
 
 from fennelpoint.standins.core_machines import Backend, Broken, Caller
 from fennelpoint.system.calls import find
-from fennelpoint.system.web import Asking
+from fennelpoint.system.http_server import Asking
 
 if TYPE_CHECKING:
     from fennelpoint.standins.core_machines import Core, Front
-    from fennelpoint.system.web import Reply
+    from fennelpoint.system.http_server import Reply
 
 ANSWER_WITHIN = 1.0  # s of silence after which a backend calls another core machine
 TAKEN_WITHIN = 2.0  # s in which each of a row of orders must be taken
--- a/fennelpoint/standins/core_world.py
+++ b/fennelpoint/standins/core_world.py
@@ -22,6 +22,7 @@
 from fennelpoint.standins.scenario_language import ScenarioLanguage
 from fennelpoint.system.actions import Send, Violation
 from fennelpoint.system.frames import Unpacker, pack
+from fennelpoint.system.http_server import Asking, Reply
 from fennelpoint.system.mesh import ip_of, name
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.session_actions import Apply, Hold, Units
@@ -30,7 +31,6 @@
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store import replica as writ
 from fennelpoint.system.store.replica import Store
-from fennelpoint.system.web import Asking, Reply
 
 SILENT = 1.6        # s until a cut is seen
 BEAT = 1.5
--- a/fennelpoint/standins/operator_calls.py
+++ b/fennelpoint/standins/operator_calls.py
@@ -11,7 +11,7 @@
 from fennelpoint.standins.core_machines import Broken, Caller
 from fennelpoint.standins.linearizable import Op
 from fennelpoint.system.calls import find
-from fennelpoint.system.web import Asking, Reply
+from fennelpoint.system.http_server import Asking, Reply
 
 if TYPE_CHECKING:
     from fennelpoint.standins.core_machines import Core
--- a/fennelpoint/system/forms.py
+++ b/fennelpoint/system/config_schema.py
@@ -1,6 +1,6 @@
 """Configurations: checked whole by pydantic at the edge, plain inside.
 
-Loaded by a registry when the first change comes; what programs go by is in `versions.py`.
+Loaded by a registry when the first change comes; what programs go by is in `config_versions.py`.
 """
 
 from __future__ import annotations
--- a/fennelpoint/system/versions.py
+++ b/fennelpoint/system/config_versions.py
@@ -1,6 +1,6 @@
 """Configurations as the programs go by them: plain, of bytes that were checked before they were agreed.
 
-`forms.py` checks them by pydantic; only a registry that takes a change loads that.
+`config_schema.py` checks them by pydantic; only a registry that takes a change loads that.
 """
 
 from __future__ import annotations
--- a/fennelpoint/system/explain.py
+++ b/fennelpoint/system/explain.py
@@ -1,6 +1,6 @@
 """What operators are told of the whole, made of the core's own words: status, what is new, and why something is so.
 
-Plain values in, plain values out; `tool.py` asks and prints.
+Plain values in, plain values out; `operator_cli.py` asks and prints.
 """
 
 from __future__ import annotations
--- a/fennelpoint/system/tool.py
+++ b/fennelpoint/system/operator_cli.py
@@ -39,7 +39,7 @@
 from docopt import docopt
 from result import Err, Ok, Result
 
-from fennelpoint.system import explain, snapshots, versions
+from fennelpoint.system import config_versions, explain, snapshots
 from fennelpoint.system.events import Event
 from fennelpoint.system.failure import Failure
 from fennelpoint.system.settings import address
@@ -86,7 +86,7 @@
 def read_change(path: str) -> Result[dict, Failure]:
     """A configuration or a change of a file."""
     try:
-        return versions.decode(Path(path).read_bytes())
+        return config_versions.decode(Path(path).read_bytes())
     except OSError as error:
         return Err(Failure("read", path, str(error)))
 
@@ -124,13 +124,13 @@
     if isinstance(read, Err):
         return _fail(read.err_value, FAULTY)
     value = read.ok_value
-    from fennelpoint.system.forms import check
+    from fennelpoint.system.config_schema import check
 
     held = call(cores, "GET", "/api/configuration") if dry or kind == "PATCH" else Ok(b"{}")
     if isinstance(held, Err) and held.err_value.status != 404:
         return _fail(held.err_value, UNCLEAR)
     before = json.loads(held.ok_value) if isinstance(held, Ok) else {}
-    whole = versions.merge(before, value) if kind == "PATCH" else Ok(value)
+    whole = config_versions.merge(before, value) if kind == "PATCH" else Ok(value)
     checked = whole.and_then(check)
     if isinstance(checked, Err):
         return _fail(checked.err_value, FAULTY)
@@ -196,7 +196,7 @@
         print(catalogue(), end="")
         return DONE
     if asked["check"]:
-        from fennelpoint.system.checks import check_settings
+        from fennelpoint.system.settings_schema import check_settings
 
         checked = check_settings(asked["FILE"])
         return DONE if isinstance(checked, Ok) else _fail(checked.err_value, FAULTY)
--- a/fennelpoint/system/proxy/core_choice.py
+++ b/fennelpoint/system/proxy/core_choice.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from fennelpoint.system.spread import preference
+from fennelpoint.system.rendezvous_hashing import preference
 
 USUAL = 3  # machines that are held: the nearest, and one in each of two other regions
 SILENT = 0.9  # s that an answer is owed, or a connection missing, until a machine counts as silent
--- a/fennelpoint/system/proxy/core_session.py
+++ b/fennelpoint/system/proxy/core_session.py
@@ -17,8 +17,8 @@
 from fennelpoint.system.proxy.session_actions import Apply, Extend, Hold, Lend, Parts, Refresh, Units
 from fennelpoint.system.registry.backend_table import Backends, Told
 from fennelpoint.system.registry.grants import DRAW_LIFE, GRANT_LIFE
+from fennelpoint.system.rendezvous_hashing import preference
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.spread import preference
 
 RENEW = 0.5         # s between asks
 PATIENCE = 0.4      # s without an answer after which another core machine is asked, too
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -17,9 +17,10 @@
 from fennelpoint.net.server import Server
 from fennelpoint.state import Cut
 from fennelpoint.system.actions import Send
+from fennelpoint.system.config_versions import compile_version
 from fennelpoint.system.events import Event, say
+from fennelpoint.system.http_server import Asking, Reply, Web
 from fennelpoint.system.mesh import Mesh
-from fennelpoint.system.pace import Paced
 from fennelpoint.system.proxy.controller import Decider
 from fennelpoint.system.proxy.controller_host import SystemBackends, SystemHost
 from fennelpoint.system.proxy.core_session import CoreSession
@@ -36,8 +37,7 @@
 from fennelpoint.system.proxy.session_actions import Apply, Extend, Hold, Lend, Refresh, Units
 from fennelpoint.system.registry.backend_table import DRAINING, GONE
 from fennelpoint.system.settings import Settings, address
-from fennelpoint.system.versions import compile_version
-from fennelpoint.system.web import Asking, Reply, Web
+from fennelpoint.system.throttle import Paced
 
 TICK = 0.05         # s
 SWEEP = 0.25        # s between looks at idle connections
--- a/fennelpoint/system/proxy/request_parser.py
+++ b/fennelpoint/system/proxy/request_parser.py
@@ -16,8 +16,8 @@
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.host import Asked
 from fennelpoint.net.reader import BadRequest, Reader, Reply, framing
+from fennelpoint.system.config_versions import Holder, Route, Version
 from fennelpoint.system.proxy.queue_timeout import MOST_ADVICE
-from fennelpoint.system.versions import Holder, Route, Version
 
 ID = re.compile(rb"[!-~]{1,128}")
 MOST_LEFT_MS = 3_600_000
--- a/fennelpoint/system/registry/allocation_leader.py
+++ b/fennelpoint/system/registry/allocation_leader.py
@@ -1,7 +1,7 @@
 """The duty of allocating parts: one core machine at a time does it, by a lease that a majority granted and by a term.
 
-A part of `desk.Desk`.  Whoever is granted the duty asks the store for a term, a number that is agreed since no
-registry remembers one, and allocates by that until another term is known to have begun.
+A part of `state_machine.Desk`.  Whoever is granted the duty asks the store for a term, a number that is agreed
+since no registry remembers one, and allocates by that until another term is known to have begun.
 """
 
 from __future__ import annotations
--- a/fennelpoint/system/registry/operator_handlers.py
+++ b/fennelpoint/system/registry/operator_handlers.py
@@ -1,6 +1,6 @@
 """The decider of operators' calls at a registry: changes, reading back, what there is and why.
 
-A part of `desk.Desk`: it asks the store beside it, by tokens, and answers once a majority has.
+A part of `state_machine.Desk`: it asks the store beside it, by tokens, and answers once a majority has.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 from result import Err, Result
 
-from fennelpoint.system import versions
+from fennelpoint.system import config_versions
+from fennelpoint.system.http_server import Asking, Reply
 from fennelpoint.system.registry.allocation_leader import AllocationDuty
 from fennelpoint.system.registry.backend_table import DRAINING, Backends
 from fennelpoint.system.registry.leader_lease import SPAN
 from fennelpoint.system.registry.membership import Members
 from fennelpoint.system.registry.pending_calls import Held, fault
 from fennelpoint.system.store.idempotency import floor_of, upgrade
-from fennelpoint.system.web import Asking, Reply
 
 WAIT_CHANGE = 3.0   # s for the store
 BRIEF = 0.9         # s where a call must have ended before its caller sends it elsewhere, after a second of silence
@@ -28,7 +28,7 @@
 
 def _check(value: dict) -> Result:
     """By pydantic, which is loaded with the first change: a registry that restarts is up in half the time."""
-    from fennelpoint.system.forms import check
+    from fennelpoint.system.config_schema import check
 
     return check(value)
 
@@ -86,12 +86,13 @@
         self.desk.send(self.desk.store, ["change", token, kind, args, data])
 
     def _call_put(self, asking: Asking, now: float) -> None:
-        read = versions.decode(asking.body).and_then(
-            lambda value: versions.numbers(value).and_then(lambda n: _check(value).map(lambda _: (value, n))))
+        read = config_versions.decode(asking.body).and_then(
+            lambda value: config_versions.numbers(value).and_then(lambda n: _check(value).map(lambda _: (value, n))))
         if isinstance(read, Err):
             return self.desk.answer(asking, fault(read.err_value.status, str(read.err_value)))
         value, (version, base) = read.ok_value
-        self._agree(asking, now, version, base, versions.digest(b"PUT" + asking.body), value, self._to_come(base))
+        self._agree(asking, now, version, base, config_versions.digest(b"PUT" + asking.body), value,
+                    self._to_come(base))
 
     def _to_come(self, base: int) -> bool:
         """Whether 412 is not for good: the base may come while a copy of the order waits elsewhere."""
@@ -100,17 +101,18 @@
     def _agree(self, asking: Asking, now: float, version: int, base: int, sent: str, value: dict,
                brief: bool) -> None:
         try:
-            data = zlib.compress(versions.encode(value), 1)
+            data = zlib.compress(config_versions.encode(value), 1)
         except UnicodeEncodeError as error:
             return self.desk.answer(asking, fault(400, f"it holds what is no text: {error.reason}"))
-        self._change(asking, now, "put", [version, base, sent, versions.digest(data)], data, brief)
+        self._change(asking, now, "put", [version, base, sent, config_versions.digest(data)], data, brief)
 
     def _call_patch(self, asking: Asking, now: float) -> None:
-        read = versions.decode(asking.body).and_then(lambda v: versions.numbers(v).map(lambda n: (v, n)))
+        read = config_versions.decode(asking.body).and_then(
+            lambda v: config_versions.numbers(v).map(lambda n: (v, n)))
         if isinstance(read, Err):
             return self.desk.answer(asking, fault(read.err_value.status, str(read.err_value)))
         value, (version, base) = read.ok_value
-        sent, brief = versions.digest(b"PATCH" + asking.body), self._to_come(base)
+        sent, brief = config_versions.digest(b"PATCH" + asking.body), self._to_come(base)
 
         def with_world(got: list) -> None:
             if (world := got[0]) is None:
@@ -121,8 +123,8 @@
             self._with_content(asking, now, world["digest"], lambda: merged(world["digest"]), brief)
 
         def merged(digest: str) -> None:
-            held = versions.decode(zlib.decompress(self.desk.contents[digest])).unwrap()
-            made = versions.merge(held, value).and_then(lambda whole: _check(whole).map(lambda _: whole))
+            held = config_versions.decode(zlib.decompress(self.desk.contents[digest])).unwrap()
+            made = config_versions.merge(held, value).and_then(lambda whole: _check(whole).map(lambda _: whole))
             if isinstance(made, Err):
                 return self.desk.answer(asking, fault(made.err_value.status, str(made.err_value)))
             self._agree(asking, now, version, base, sent, made.ok_value, brief)
@@ -157,17 +159,17 @@
         """All that is agreed and has to outlast the core, as one object."""
         self._newest(asking, now, lambda world, held: Reply(200, {
             "schema": SNAPSHOT, **{name: world[name] for name in KEPT}, "floor": floor_of(upgrade(world)),
-            "configuration": versions.decode(held).unwrap()}))
+            "configuration": config_versions.decode(held).unwrap()}))
 
     def _call_revive(self, asking: Asking, now: float) -> None:
         """A snapshot, for a core that was just founded; one that holds anything refuses it."""
-        read = versions.decode(asking.body).and_then(versions.snapshot)
+        read = config_versions.decode(asking.body).and_then(config_versions.snapshot)
         checked = read.and_then(lambda value: _check(value["configuration"]))
         if isinstance(checked, Err):
             return self.desk.answer(asking, fault(checked.err_value.status, str(checked.err_value)))
         value = read.ok_value
-        data = zlib.compress(versions.encode(value["configuration"]), 1)
-        self._change(asking, now, "revive", [value["version"], versions.digest(data), value["past"],
+        data = zlib.compress(config_versions.encode(value["configuration"]), 1)
+        self._change(asking, now, "revive", [value["version"], config_versions.digest(data), value["past"],
                                              value["evac"], value.get("floor")], data)
 
     # What there is
--- a/fennelpoint/system/registry/pending_calls.py
+++ b/fennelpoint/system/registry/pending_calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fennelpoint.system.web import Asking, Reply
+from fennelpoint.system.http_server import Asking, Reply
 
 
 @dataclass(slots=True)
--- a/fennelpoint/system/registry/program.py
+++ b/fennelpoint/system/registry/program.py
@@ -1,4 +1,4 @@
-"""The process of the registry: sockets and clock round `desk.Desk`."""
+"""The process of the registry: sockets and clock round `state_machine.Desk`."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from fennelpoint.invariants import violations
 from fennelpoint.system.actions import Violation
 from fennelpoint.system.events import Event, say
+from fennelpoint.system.http_server import Asking, Reply, Web
 from fennelpoint.system.mesh import Mesh, name
 from fennelpoint.system.registry.state_machine import Answer, Desk, Note, Save, Send
 from fennelpoint.system.registry.storage import Disk
 from fennelpoint.system.settings import Settings
-from fennelpoint.system.web import Asking, Reply, Web
 
 TICK = 0.05     # s
 
--- a/fennelpoint/system/registry/state_machine.py
+++ b/fennelpoint/system/registry/state_machine.py
@@ -8,12 +8,12 @@
 import zlib
 from collections.abc import Callable
 
-from fennelpoint.system import versions
+from fennelpoint.system import config_versions
 from fennelpoint.system.actions import Note, Send
+from fennelpoint.system.graceful_shutdown import Leaving, within
+from fennelpoint.system.http_server import Asking, Reply
 from fennelpoint.system.incarnation import first_number
-from fennelpoint.system.leaving import Leaving, within
 from fennelpoint.system.mesh import ip_of, name
-from fennelpoint.system.pace import Paced
 from fennelpoint.system.registry.allocation_leader import MESSAGES, AllocationDuty
 from fennelpoint.system.registry.allocation_parameters import ColdBackends, Figures
 from fennelpoint.system.registry.backend_table import DRAINING, GONE, LOST_AFTER, READY, SPOKE, Backends, Told
@@ -23,9 +23,9 @@
 from fennelpoint.system.registry.operator_handlers import Office
 from fennelpoint.system.registry.pending_calls import Answer, Held, Save, fault
 from fennelpoint.system.registry.quorum_check import Contact
+from fennelpoint.system.rendezvous_hashing import preference
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.spread import preference
-from fennelpoint.system.web import Asking, Reply
+from fennelpoint.system.throttle import Paced
 
 TTL = 2.0           # s that clients may hold an answer
 WAIT_DRAIN = 0.9    # s for a majority to hold a drain
@@ -283,7 +283,7 @@
 
     def _call_beat(self, asking: Asking, now: float) -> None:
         try:
-            value = versions.json.loads(asking.body)
+            value = config_versions.json.loads(asking.body)
             info, status = value["information"], value["status"]
             told = Told(asking.segment, str(value["address"]), str(info["service"]),
                         str(info["availability_zone"]), int(info["free_slots"]), str(info.get("version", "")),
@@ -487,7 +487,7 @@
         """Go by the configuration that is newest here, if it is here."""
         digest = self.world["digest"]
         if digest != self.allocation.figures.digest and (data := self.contents.get(digest)) is not None:
-            configuration = versions.json.loads(zlib.decompress(data))
+            configuration = config_versions.json.loads(zlib.decompress(data))
             self.directory.homes = homes_by_host(configuration)
             self.allocation.figures = Figures.read(digest, configuration)
 
--- a/fennelpoint/system/settings.py
+++ b/fennelpoint/system/settings.py
@@ -1,8 +1,8 @@
 """The settings file of one process: lines `a.b=value`, read once.
 
 Times are seconds.  Fields that are not known are ignored; a fault names file, field and reason in one line.  The
-same file is described to operators by the pydantic model of `checks.py`, which `larchwing-system check` goes by and
-a test holds equal to this: a process that starts does not load it (see docs/design/system.md, what gave way).
+same file is described to operators by the pydantic model of `settings_schema.py`, which `larchwing-system check` goes
+by and a test holds equal to this: a process that starts does not load it (see docs/design/system.md, what gave way).
 """
 
 from __future__ import annotations
--- a/fennelpoint/system/snapshots.py
+++ b/fennelpoint/system/snapshots.py
@@ -9,7 +9,7 @@
 
 from result import Err, Ok, Result
 
-from fennelpoint.system import versions
+from fennelpoint.system import config_versions
 from fennelpoint.system.failure import Failure
 
 
@@ -47,4 +47,4 @@
         return Err(Failure("snapshot", path, f"it is torn or no snapshot: {error!r}"))
     if not isinstance(value, dict) or _sum(value) != told:
         return Err(Failure("snapshot", path, "its checksum does not fit"))
-    return versions.snapshot(value)
+    return config_versions.snapshot(value)
--- a/fennelpoint/system/store/program.py
+++ b/fennelpoint/system/store/program.py
@@ -1,4 +1,4 @@
-"""The process of the store: sockets, disk and clock round `keeper.Store`."""
+"""The process of the store: sockets, disk and clock round `replica.Store`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from fennelpoint.fleet.store import Store as Disk
 from fennelpoint.system.events import Event, say
-from fennelpoint.system.leaving import within
+from fennelpoint.system.graceful_shutdown import within
 from fennelpoint.system.mesh import Mesh, ip_of, name
 from fennelpoint.system.settings import Settings
 from fennelpoint.system.store.replica import KEY, ROLL, Note, Save, SaveContent, Send, Store, Whole
--- a/fennelpoint/system/store/replica.py
+++ b/fennelpoint/system/store/replica.py
@@ -32,8 +32,9 @@
     holds,
 )
 from fennelpoint.system.actions import Note, Send
+from fennelpoint.system.config_versions import digest as digest_of
+from fennelpoint.system.graceful_shutdown import Leaving
 from fennelpoint.system.incarnation import first_number
-from fennelpoint.system.leaving import Leaving
 from fennelpoint.system.registry.quorum_check import DRAIN, LAG
 from fennelpoint.system.store import idempotency
 from fennelpoint.system.store.content_retention import Lately
@@ -53,7 +54,6 @@
     settle,
     stand_by,
 )
-from fennelpoint.system.versions import digest as digest_of
 
 KEY = "world"
 FOUNDED: Ballot = (0, "founded")
--- a/tests/system/test_contact.py
+++ b/tests/system/test_contact.py
@@ -11,12 +11,12 @@
 from fennelpoint.standins.core_world import play
 from fennelpoint.system.actions import Send
 from fennelpoint.system.calls import find
+from fennelpoint.system.http_server import Asking
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.registry.quorum_check import DRAIN, FRESH, LAG, Contact
 from fennelpoint.system.registry.state_machine import Answer, Desk
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store.replicated_state import empty
-from fennelpoint.system.web import Asking
 
 OTHERS = ["b", "c", "d", "e"]
 
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -157,7 +157,7 @@
             if isinstance(a, Send) and a.message[0] == "peek"}
 
     def store(name: str, keeper: Keeper) -> Store:
-        return Store(name, "z", {}, ["v1", "v2", "v3"], replica, False, {}.get, Random(1), 0.0)
+        return Store(name, "z", {}, ["v1", "v2", "v3"], keeper, False, {}.get, Random(1), 0.0)
 
     def answer(one: Store) -> list:
         (sent,) = [a.message for a in one.heard("v3", asks[one.me], 0.1) if isinstance(a, Send)]
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -4,7 +4,7 @@
 
 from fennelpoint.fleet.register import Keeper
 from fennelpoint.standins.core_world import play
-from fennelpoint.system.leaving import LINGER, MOST, within
+from fennelpoint.system.graceful_shutdown import LINGER, MOST, within
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store.replica import REJOIN, Store
 
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -7,10 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from fennelpoint.system.config_versions import digest, encode
+from fennelpoint.system.http_server import Reply, Web
 from fennelpoint.system.store import idempotency
 from fennelpoint.system.store.replicated_state import configure, empty, put_orders_away, revive
-from fennelpoint.system.versions import digest, encode
-from fennelpoint.system.web import Reply, Web
 
 STEP = st.tuples(st.sampled_from(["new", "new", "new", "old base", "again", "other bytes", "away", "deaf"]),
                  st.integers(0, 10**6))
--- a/tests/system/test_pace.py
+++ b/tests/system/test_pace.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from fennelpoint.system.actions import Send
-from fennelpoint.system.pace import Paced
 from fennelpoint.system.registry.backend_table import READY, Told
 from fennelpoint.system.registry.state_machine import Desk
 from fennelpoint.system.settings import Bounds
+from fennelpoint.system.throttle import Paced
 
 
 def test_the_first_goes_at_once_and_what_follows_together() -> None:
--- a/tests/system/test_ports.py
+++ b/tests/system/test_ports.py
@@ -9,7 +9,7 @@
 from fennelpoint.standins.core_world import World
 from fennelpoint.system.calls import TABLE, find
 from fennelpoint.system.frames import MOST, BadFrame, Unpacker, pack
-from fennelpoint.system.web import Asking, Reply, Visit, Web
+from fennelpoint.system.http_server import Asking, Reply, Visit, Web
 
 WORDS = st.text(max_size=8)
 VALUES = st.recursive(st.none() | st.booleans() | st.integers(-2 ** 40, 2 ** 40) | st.floats() | WORDS,
--- a/tests/system/test_reused_addresses.py
+++ b/tests/system/test_reused_addresses.py
@@ -10,9 +10,9 @@
 from fennelpoint import interface as api
 from fennelpoint.bodies import Budget
 from fennelpoint.net.backends import Exchange
+from fennelpoint.system.config_versions import Version
 from fennelpoint.system.proxy.controller_host import SystemBackends
 from fennelpoint.system.proxy.request_parser import SystemReader
-from fennelpoint.system.versions import Version
 
 S = api.Status
 SERVICE_OF = {"old": "lookup", "new": "payment"}
--- a/tests/system/test_span.py
+++ b/tests/system/test_span.py
@@ -11,6 +11,7 @@
 from fennelpoint.net.backends import Exchange
 from fennelpoint.net.driver import Clock
 from fennelpoint.net.reader import BadRequest, Reply
+from fennelpoint.system.config_versions import Version
 from fennelpoint.system.proxy.controller import Decider
 from fennelpoint.system.proxy.controller_host import SystemBackends
 from fennelpoint.system.proxy.events import (
@@ -24,7 +25,6 @@
 )
 from fennelpoint.system.proxy.queue_timeout import HELD_PART
 from fennelpoint.system.proxy.request_parser import SystemReader
-from fennelpoint.system.versions import Version
 
 S = api.Status
 
--- a/tests/system/test_spread.py
+++ b/tests/system/test_spread.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fennelpoint.system.proxy.core_session import NEXT_SEED, CoreSession
-from fennelpoint.system.spread import preference
+from fennelpoint.system.rendezvous_hashing import preference
 
 REGIONS = {"za": "ra", "zb": "rb", "zc": "rc", "zd": "ra", "ze": "rb", "zf": "rc"}
 CORE = {f"10.{place}.0.{number}": zone for place, zone in enumerate(REGIONS, 1) for number in (60, 61)}
--- a/tests/system/test_tool.py
+++ b/tests/system/test_tool.py
@@ -11,9 +11,9 @@
 from result import Err, Ok
 
 from fennelpoint.standins.core_world import World
-from fennelpoint.system import settings, tool
-from fennelpoint.system.checks import check_settings
-from fennelpoint.system.web import Web
+from fennelpoint.system import operator_cli, settings
+from fennelpoint.system.http_server import Web
+from fennelpoint.system.settings_schema import check_settings
 
 BOOT = """node_name=n\nnode_role=r\nip_address=10.1.0.8\navailability_zone=za\nregion=ra\nzones.za=ra\n
 internal_ports=7600,7615\nseed_nodes=10.1.0.11:8200,10.2.0.5:8200\nfirst_start=true\nlimits.memory_mb=300\n
@@ -59,25 +59,26 @@
 
 
 def run(*argv: str) -> int:
-    return tool.main(list(argv))
+    return operator_cli.main(list(argv))
 
 
 def test_a_configuration_is_checked_applied_patched_and_read_back(core, tmp_path, capsys) -> None:
     file, patch = tmp_path / "c.json", tmp_path / "p.json"
     file.write_text(json.dumps(configuration(3, 0)))
-    assert run("apply", str(file), "--core", core, "--dry-run") == tool.DONE
+    assert run("apply", str(file), "--core", core, "--dry-run") == operator_cli.DONE
     assert "+ routes r" in capsys.readouterr().out
-    assert run("apply", str(file), "--core", core) == tool.DONE
+    assert run("apply", str(file), "--core", core) == operator_cli.DONE
     patch.write_text(json.dumps({"version": 5, "base_version": 3, "remove": {"routes": ["r"]}, "upsert": {}}))
-    assert run("patch", str(patch), "--core", core, "--dry-run") == tool.DONE
+    assert run("patch", str(patch), "--core", core, "--dry-run") == operator_cli.DONE
     assert "- routes r" in capsys.readouterr().out
-    assert run("patch", str(patch), "--core", "127.0.0.1:1", "--core", core) == tool.DONE     # the first is not there
+    # the first is not there
+    assert run("patch", str(patch), "--core", "127.0.0.1:1", "--core", core) == operator_cli.DONE
     capsys.readouterr()
-    assert run("get", "--core", core) == tool.DONE
+    assert run("get", "--core", core) == operator_cli.DONE
     held = json.loads(capsys.readouterr().out)
     assert held["version"] == 5 and held["listener_table"] == []
-    assert run("evacuate", "za", "--core", core) == tool.DONE
-    assert run("status", "--core", core) == tool.DONE
+    assert run("evacuate", "za", "--core", core) == operator_cli.DONE
+    assert run("status", "--core", core) == operator_cli.DONE
     assert "evacuated: za" in capsys.readouterr().out
 
 
@@ -86,49 +87,50 @@
     value = configuration(3, 0)
     value["tenants"] = [{"name": "t1", "api_keys": ["k"], "rate_per_s": 20, "burst_size": 20}]
     file.write_text(json.dumps(value))
-    assert run("apply", str(file), "--core", core) == tool.DONE
+    assert run("apply", str(file), "--core", core) == operator_cli.DONE
     capsys.readouterr()
-    assert run("explain", "route", "h", "/r/1", "--core", core, "--json") == tool.DONE
+    assert run("explain", "route", "h", "/r/1", "--core", core, "--json") == operator_cli.DONE
     told = json.loads(capsys.readouterr().out)
     assert told["route"] == "r" and told["services"]["svc"]["may be sent to"] == ["s1", "s2"]
-    assert run("evacuate", "zb", "--core", core) == tool.DONE
-    assert run("explain", "backend", "s2", "--core", core) == tool.DONE
+    assert run("evacuate", "zb", "--core", core) == operator_cli.DONE
+    assert run("explain", "backend", "s2", "--core", core) == operator_cli.DONE
     assert "why not: zone zb is evacuated" in capsys.readouterr().out
     for _ in range(6):      # the duty comes and fronts ask
-        assert run("explain", "tenant", "t1", "--core", core, "--json") == tool.DONE
+        assert run("explain", "tenant", "t1", "--core", core, "--json") == operator_cli.DONE
         told = json.loads(capsys.readouterr().out)
     assert told["rate_per_s"] == 20 and 0.5 < told["lent"] <= 1.0 and told["fronts"]["fa"]["part"] > 0.1
     value["version"], value["base_version"], value["tenants"][0]["rate_per_s"] = 5, 3, 3
     file.write_text(json.dumps(value))
-    assert run("apply", str(file), "--core", core) == tool.DONE     # thin for three fronts: nobody holds parts of it
+    # thin for three fronts: nobody holds parts of it
+    assert run("apply", str(file), "--core", core) == operator_cli.DONE
     for _ in range(8):
-        assert run("explain", "tenant", "t1", "--core", core) == tool.DONE
+        assert run("explain", "tenant", "t1", "--core", core) == operator_cli.DONE
     assert "drawn from its pool:" in capsys.readouterr().out
     for wrong in (("route", "h", "/x/"), ("route", "nobody", "/r/"), ("tenant", "t9"), ("backend", "s9")):
-        assert run("explain", *wrong, "--core", core) == tool.FAULTY
-    assert run("watch", "--for", "0.1", "--core", core) == tool.DONE
+        assert run("explain", *wrong, "--core", core) == operator_cli.FAULTY
+    assert run("watch", "--for", "0.1", "--core", core) == operator_cli.DONE
     assert "evacuated: zb" in capsys.readouterr().out
 
 
 def test_a_snapshot_founds_a_core_anew_and_nothing_else(core, tmp_path, capsys) -> None:
     file, kept = tmp_path / "c.json", tmp_path / "kept"
     file.write_text(json.dumps(configuration(3, 0)))
-    assert run("snapshot", str(kept), "--core", core) == tool.REFUSED      # there is nothing yet
-    assert run("apply", str(file), "--core", core) == tool.DONE
-    assert run("evacuate", "za", "--core", core) == tool.DONE
-    assert run("snapshot", str(kept), "--core", core) == tool.DONE
-    assert run("revive", str(kept), "--core", core) == tool.DONE           # it holds just that: sent again
+    assert run("snapshot", str(kept), "--core", core) == operator_cli.REFUSED      # there is nothing yet
+    assert run("apply", str(file), "--core", core) == operator_cli.DONE
+    assert run("evacuate", "za", "--core", core) == operator_cli.DONE
+    assert run("snapshot", str(kept), "--core", core) == operator_cli.DONE
+    assert run("revive", str(kept), "--core", core) == operator_cli.DONE           # it holds just that: sent again
     file.write_text(json.dumps(configuration(4, 3)))
-    assert run("apply", str(file), "--core", core) == tool.DONE
-    assert run("revive", str(kept), "--core", core) == tool.REFUSED
+    assert run("apply", str(file), "--core", core) == operator_cli.DONE
+    assert run("revive", str(kept), "--core", core) == operator_cli.REFUSED
     assert "the core lives" in capsys.readouterr().err
     held = json.loads(kept.read_text())
     held["snapshot"]["version"] = 9
     kept.write_text(json.dumps(held))
-    assert run("revive", str(kept), "--core", core) == tool.FAULTY
+    assert run("revive", str(kept), "--core", core) == operator_cli.FAULTY
     assert "checksum" in capsys.readouterr().err
     kept.write_text(kept.read_text()[:50])
-    assert run("revive", str(kept), "--core", core) == tool.FAULTY
+    assert run("revive", str(kept), "--core", core) == operator_cli.FAULTY
     assert str(kept) in capsys.readouterr().err
 
 
@@ -171,17 +173,17 @@
 def test_exit_codes_tell_a_fault_a_refusal_and_nobody_there(core, tmp_path, capsys) -> None:
     file = tmp_path / "c.json"
     file.write_text(json.dumps(configuration(3, 0, "nobody")))
-    assert run("apply", str(file), "--core", core) == tool.FAULTY
+    assert run("apply", str(file), "--core", core) == operator_cli.FAULTY
     assert "no service nobody" in capsys.readouterr().err
     file.write_text(json.dumps(configuration(3, 2)))
-    assert run("apply", str(file), "--core", core) == tool.REFUSED
+    assert run("apply", str(file), "--core", core) == operator_cli.REFUSED
     assert core in capsys.readouterr().err
-    assert run("status", "--core", "127.0.0.1:1") == tool.UNCLEAR
+    assert run("status", "--core", "127.0.0.1:1") == operator_cli.UNCLEAR
     assert "127.0.0.1:1" in capsys.readouterr().err
 
 
 def test_the_catalogue_of_events_is_that_of_the_code() -> None:
-    assert (Path(__file__).parents[2] / "docs" / "system-events.md").read_text() == tool.catalogue()
+    assert (Path(__file__).parents[2] / "docs" / "system-events.md").read_text() == operator_cli.catalogue()
 
 
 LINES = BOOT.split("\n")
--- a/tests/system/test_whose_answer.py
+++ b/tests/system/test_whose_answer.py
@@ -10,8 +10,8 @@
 from fennelpoint.net.backends import Answer, Exchange
 from fennelpoint.net.host import Asked, Ticket
 from fennelpoint.system.calls import find
+from fennelpoint.system.http_server import Asking, Reply, Visit, Web
 from fennelpoint.system.proxy.controller_host import SystemBackends, SystemHost
-from fennelpoint.system.web import Asking, Reply, Visit, Web
 
 S = api.Status
 SHED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
