--- a/fennelpoint/__main__.py
+++ b/fennelpoint/__main__.py
@@ -22,10 +22,10 @@
 from fennelpoint.faults import FaultyFile
 from fennelpoint.lifecycle import Event, LifeCycle
 from fennelpoint.net.backends import Backends
+from fennelpoint.net.controller_host import Host
 from fennelpoint.net.counter import Counter
 from fennelpoint.net.discovery import Address, Discovery, Listing, parse_address, parse_list
-from fennelpoint.net.host import Host
-from fennelpoint.net.leaving import Leaving
+from fennelpoint.net.graceful_shutdown import Leaving
 from fennelpoint.net.server import Server
 from fennelpoint.notice import log
 from fennelpoint.parts import make_parts
--- a/fennelpoint/net/backends.py
+++ b/fennelpoint/net/backends.py
@@ -21,7 +21,7 @@
 from fennelpoint.bodies import COMMIT, MOST, STOPPED, WHOLE, Budget, Upload
 from fennelpoint.connecting import connect
 from fennelpoint.interface import BackendState, Roster, RosterKind, Status
-from fennelpoint.net.paced import Paced
+from fennelpoint.net.flow_control import Paced
 from fennelpoint.notice import complain
 
 MOST_RECEIVED = 2 * WHOLE   # bytes of a whole answer with its head and framing
--- a/fennelpoint/net/host.py
+++ b/fennelpoint/net/controller_host.py
@@ -19,8 +19,8 @@
 from fennelpoint.control import Controller
 from fennelpoint.invariants import Invariant, violations
 from fennelpoint.net.backends import Answer, Backends, Exchange, load_report
+from fennelpoint.net.controller_runtime import Clock, Driver
 from fennelpoint.net.counter import Counter
-from fennelpoint.net.driver import Clock, Driver
 from fennelpoint.notice import complain, log
 
 LEFT_AT_WORK = 0.5  # s after its client left, within which the work for a repeatable request has to end
--- a/fennelpoint/net/leaving.py
+++ b/fennelpoint/net/graceful_shutdown.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from fennelpoint.lifecycle import LifeCycle, Step
-from fennelpoint.net.host import Host
+from fennelpoint.net.controller_host import Host
 from fennelpoint.net.server import Server
 
 LOOK = 0.05     # s between looks at what a drain or an end has left to do
--- a/fennelpoint/net/twins.py
+++ b/fennelpoint/net/process_group.py
@@ -7,7 +7,7 @@
 from fennelpoint import interface as api
 from fennelpoint.descriptors import plan
 from fennelpoint.handover import attach, tell, tell_rest
-from fennelpoint.net.relay import Relay
+from fennelpoint.net.hot_restart import Relay
 from fennelpoint.notice import log
 from fennelpoint.part import Carrier, Part
 from fennelpoint.succession import Give, Serve, Share, Succession, Take
--- a/fennelpoint/net/reader.py
+++ b/fennelpoint/net/request_parser.py
@@ -9,7 +9,7 @@
 from fennelpoint import interface as api
 from fennelpoint.bodies import Upload
 from fennelpoint.net.backends import HOP_BY_HOP
-from fennelpoint.net.host import Asked
+from fennelpoint.net.controller_host import Asked
 
 MOST_LEFT_MS = 600_000  # ms; a longer wait is not meant
 MOST_CUSTOMER = 1 << 33
--- a/fennelpoint/net/routed.py
+++ b/fennelpoint/net/route_matching.py
@@ -11,8 +11,8 @@
 from fennelpoint import interface as api
 from fennelpoint.bodies import Upload
 from fennelpoint.faults import FaultyFile
-from fennelpoint.net.host import Asked
-from fennelpoint.net.reader import BadRequest, Reader, Reply, framing
+from fennelpoint.net.controller_host import Asked
+from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
 from fennelpoint.notice import log
 from fennelpoint.operator import Routes, read_operator
 from fennelpoint.part import Carrier, Part
--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -21,9 +21,9 @@
 from fennelpoint.descriptors import YOUNG, Leaves, Plan, who_leaves
 from fennelpoint.lifecycle import LifeCycle
 from fennelpoint.net.backends import HOP_BY_HOP, Answer
-from fennelpoint.net.host import Asked, Host, Source
-from fennelpoint.net.paced import Paced
-from fennelpoint.net.reader import BadRequest, Reader, Reply
+from fennelpoint.net.controller_host import Asked, Host, Source
+from fennelpoint.net.flow_control import Paced
+from fennelpoint.net.request_parser import BadRequest, Reader, Reply
 
 MOST_HEAD = 16 * 1024   # bytes of request line and fields together
 MOST_TAKEN = 512 * 1024 # bytes of framing and trailers of one request, beside eight for each of its body
--- a/fennelpoint/parts.py
+++ b/fennelpoint/parts.py
@@ -17,7 +17,7 @@
     if config.door is None:
         return None
     from fennelpoint.descriptors import plan
-    from fennelpoint.net.door import Door
+    from fennelpoint.net.admin_socket import Door
 
     def stand() -> str:
         return f": {len(ingress.server.connections)} connections, {ingress.host.waiting} requests open"
@@ -42,7 +42,7 @@
     config = ingress.config
     if config.operator is None or (routes := config.operator.routes) is None:
         return None
-    from fennelpoint.net.routed import RoutesPart
+    from fennelpoint.net.route_matching import RoutesPart
 
     return RoutesPart(ingress, routes)
 
@@ -51,8 +51,8 @@
     """The word to the announcer beside it."""
     if ingress.config.operator is None or (announce := ingress.config.operator.announce) is None:
         return None
-    from fennelpoint.net.beat import Beat
     from fennelpoint.net.discovery import parse_address
+    from fennelpoint.net.heartbeat import Beat
 
     return Beat(ingress.loop, parse_address(announce.beat_listen, "beat_listen"), ingress.word)
 
@@ -61,7 +61,7 @@
     """The other processes of this ingress, where the platform holds its socket."""
     if ingress.config.inherited is None or not ingress.config.folder:
         return None
-    from fennelpoint.net.twins import TwinsPart
+    from fennelpoint.net.process_group import TwinsPart
 
     return TwinsPart.made(ingress)
 
--- a/fennelpoint/system/proxy/controller_host.py
+++ b/fennelpoint/system/proxy/controller_host.py
@@ -6,7 +6,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.net.backends import Answer, Backends, Exchange, UpstreamConnection
-from fennelpoint.net.host import Host, Ticket
+from fennelpoint.net.controller_host import Host, Ticket
 from fennelpoint.system.proxy.events import UnitsNeeded
 
 KEPT_PART = 0.6     # of the time that a backend keeps an idle connection
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -13,7 +13,7 @@
 from fennelpoint.invariants import Invariant, violations
 from fennelpoint.lifecycle import Event as Life
 from fennelpoint.lifecycle import LifeCycle
-from fennelpoint.net.leaving import Leaving
+from fennelpoint.net.graceful_shutdown import Leaving
 from fennelpoint.net.server import Server
 from fennelpoint.state import Cut
 from fennelpoint.system.actions import Send
--- a/fennelpoint/system/proxy/request_parser.py
+++ b/fennelpoint/system/proxy/request_parser.py
@@ -14,8 +14,8 @@
 from fennelpoint import interface as api
 from fennelpoint.bodies import Upload
 from fennelpoint.net.backends import HOP_BY_HOP
-from fennelpoint.net.host import Asked
-from fennelpoint.net.reader import BadRequest, Reader, Reply, framing
+from fennelpoint.net.controller_host import Asked
+from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
 from fennelpoint.system.config_versions import Holder, Route, Version
 from fennelpoint.system.proxy.queue_timeout import MOST_ADVICE
 
--- a/fennelpoint/xds/quotas.py
+++ b/fennelpoint/xds/quotas.py
@@ -17,8 +17,8 @@
 from envoy.type.v3 import ratelimit_strategy_pb2
 
 from fennelpoint import interface as api
+from fennelpoint.net.controller_runtime import Clock, Driver
 from fennelpoint.net.counter import Counter
-from fennelpoint.net.driver import Clock, Driver
 from fennelpoint.notice import complain, log
 from fennelpoint.operator import Control
 from fennelpoint.xds.budget import Budget
--- a/tests/bgp/stalling.py
+++ b/tests/bgp/stalling.py
@@ -5,8 +5,8 @@
 import asyncio
 import sys
 
-from fennelpoint.net.beat import Beat
 from fennelpoint.net.discovery import parse_address
+from fennelpoint.net.heartbeat import Beat
 
 
 def spin() -> None:
--- a/tests/routes/test_same_decisions.py
+++ b/tests/routes/test_same_decisions.py
@@ -18,7 +18,7 @@
 from plays import HEAD_30, OTHER, PLAYS, described
 
 from fennelpoint import interface as api
-from fennelpoint.net import host as host_module
+from fennelpoint.net import controller_host as host_module
 from fennelpoint.operator import Operator, Routes
 from fennelpoint.standins import Backend, Count, ok, read_message, run, until, world
 
--- a/tests/system/test_span.py
+++ b/tests/system/test_span.py
@@ -9,8 +9,8 @@
 from fennelpoint import interface as api
 from fennelpoint.bodies import Budget
 from fennelpoint.net.backends import Exchange
-from fennelpoint.net.driver import Clock
-from fennelpoint.net.reader import BadRequest, Reply
+from fennelpoint.net.controller_runtime import Clock
+from fennelpoint.net.request_parser import BadRequest, Reply
 from fennelpoint.system.config_versions import Version
 from fennelpoint.system.proxy.controller import Decider
 from fennelpoint.system.proxy.controller_host import SystemBackends
--- a/tests/system/test_whose_answer.py
+++ b/tests/system/test_whose_answer.py
@@ -8,7 +8,7 @@
 from fennelpoint import interface as api
 from fennelpoint.bodies import Budget
 from fennelpoint.net.backends import Answer, Exchange
-from fennelpoint.net.host import Asked, Ticket
+from fennelpoint.net.controller_host import Asked, Ticket
 from fennelpoint.system.calls import find
 from fennelpoint.system.http_server import Asking, Reply, Visit, Web
 from fennelpoint.system.proxy.controller_host import SystemBackends, SystemHost
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -115,9 +115,9 @@
 
 def test_ingress_with_the_part_off_loads_none_of_it():
     code = ("import sys, fennelpoint.__main__\n"
-            "parts = ('fennelpoint.routes', 'fennelpoint.operator', 'fennelpoint.net.routed',\n"
+            "parts = ('fennelpoint.routes', 'fennelpoint.operator', 'fennelpoint.net.route_matching',\n"
             "         'fennelpoint.standins', 'fennelpoint.cli', 'fennelpoint.xds', 'fennelpoint.bgp',\n"
-            "         'fennelpoint.net.beat', 'fennelpoint.fleet', 'fennelpoint.net.twins')\n"
+            "         'fennelpoint.net.heartbeat', 'fennelpoint.fleet', 'fennelpoint.net.process_group')\n"
             "libraries = ('yaml', 'jsonschema_rs', 'openapi_spec_validator', 'click', 'tomllib', 'grpc',\n"
             "             'structlog', 'aetcd', 'sqlite3')\n"
             "print([m for m in sys.modules if m.startswith(parts) or m.split('.')[0] in libraries])\n")
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -7,7 +7,7 @@
 
 from fennelpoint.bodies import MOST
 from fennelpoint.net.backends import UpstreamConnection
-from fennelpoint.net.host import LEFT_AT_WORK
+from fennelpoint.net.controller_host import LEFT_AT_WORK
 from fennelpoint.net.server import RESET
 from fennelpoint.standins import Backend, Fake, ask, read_message, request, run, until, world
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -7,7 +7,7 @@
 
 from fennelpoint.descriptors import MOST_CALLERS
 from fennelpoint.lifecycle import Phase
-from fennelpoint.net.door import MOST_LINE
+from fennelpoint.net.admin_socket import MOST_LINE
 from fennelpoint.standins import Backend, ask, ok, read_message, request, run, until, world
 
 READY = b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -12,7 +12,7 @@
 from fennelpoint.interface import BackendState, Status
 from fennelpoint.lifecycle import Event, LifeCycle
 from fennelpoint.net.backends import Backends, Exchange, Upstream, UpstreamConnection
-from fennelpoint.net.reader import Reader
+from fennelpoint.net.request_parser import Reader
 from fennelpoint.net.server import ClientConnection
 from fennelpoint.settings import from_json
 from fennelpoint.standins import SETTINGS, request
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,7 @@
 from fennelpoint import record as records
 from fennelpoint.descriptors import plan
 from fennelpoint.handover import tell, tell_rest
-from fennelpoint.net.relay import Relay
+from fennelpoint.net.hot_restart import Relay
 from fennelpoint.record import AHEAD, MOST, OLDEST, BadRecord, Record, decode, encode
 from fennelpoint.succession import WAIT, Give, Serve, Share, Succession, Take
 
@@ -323,7 +323,7 @@
 
 
 def test_a_generation_lives_for_as_long_as_its_process(tmp_path):
-    program = ("import sys, time; from fennelpoint.net.relay import Relay\n"
+    program = ("import sys, time; from fennelpoint.net.hot_restart import Relay\n"
                "print(Relay(sys.argv[1], 'n0', 'a:1').generation, flush=True); time.sleep(60)")
     child = subprocess.Popen([sys.executable, "-c", program, str(tmp_path)], stdout=subprocess.PIPE)
     try:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -35,5 +35,5 @@
     for name in named:
         if name.startswith("fennelpoint.net.") or name in ("fennelpoint.part", "fennelpoint.parts"):
             assert "fennelpoint.__main__" not in named[name], name
-    assert "fennelpoint.parts" not in named["fennelpoint.net.host"] | named["fennelpoint.part"]
-    assert not any(one.startswith("fennelpoint.cells") for one in named["fennelpoint.net.host"])
+    assert "fennelpoint.parts" not in named["fennelpoint.net.controller_host"] | named["fennelpoint.part"]
+    assert not any(one.startswith("fennelpoint.cells") for one in named["fennelpoint.net.controller_host"])
