--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,7 +19,7 @@
 
 RATE, BURST, EACH, SECONDS = 1.0, 4.0, 12.0, 30.0
 CALM, HEAVY = 0.4, 3.0      # of the quota
-MODULE = ("control", "choice", "state", "upkeep", "tally")
+MODULE = ("control", "slow_start", "state", "bookkeeping", "shared_counter")
 
 
 class Bucket:
--- a/fennelpoint/__main__.py
+++ b/fennelpoint/__main__.py
@@ -17,9 +17,9 @@
 import uvloop
 
 from fennelpoint import interface as api
-from fennelpoint.bodies import Budget, budget_of
-from fennelpoint.descriptors import LEAST, plan
-from fennelpoint.faults import FaultyFile
+from fennelpoint.body_buffering import Budget, budget_of
+from fennelpoint.components import make_parts
+from fennelpoint.file_descriptors import LEAST, plan
 from fennelpoint.lifecycle import Event, LifeCycle
 from fennelpoint.net.backends import Backends
 from fennelpoint.net.controller_host import Host
@@ -27,13 +27,13 @@
 from fennelpoint.net.discovery import Address, Discovery, Listing, parse_address, parse_list
 from fennelpoint.net.graceful_shutdown import Leaving
 from fennelpoint.net.server import Server
-from fennelpoint.notice import log
-from fennelpoint.parts import make_parts
+from fennelpoint.rate_limited_log import log
 from fennelpoint.settings import from_json
+from fennelpoint.validation_errors import FaultyFile
 
 if TYPE_CHECKING:   # loaded only where there is an operator file
     from fennelpoint.cells import Plan as CellPlan
-    from fennelpoint.operator import Operator
+    from fennelpoint.operator_config import Operator
     from fennelpoint.routes.worker import End
 
 SWEEP = 0.25            # s between looks at idle connections
@@ -126,7 +126,7 @@
 
 def add_operator(config: Config, path: str) -> None:
     """Read and check the operator file, and what it names, before any traffic."""
-    from fennelpoint.operator import read_operator
+    from fennelpoint.operator_config import read_operator
 
     config.operator = read_operator(path)
     if config.operator.cells is not None:
--- a/fennelpoint/bgp/service.py
+++ b/fennelpoint/bgp/service.py
@@ -19,10 +19,10 @@
 from fennelpoint.bgp.session import Neighbor
 from fennelpoint.bgp.speaker import Speaker
 from fennelpoint.bgp.updates import Path, family
-from fennelpoint.faults import Fault, FaultyFile
 from fennelpoint.net.discovery import ListError, parse_address
-from fennelpoint.notice import complain, log
-from fennelpoint.operator import Announce, BgpPeer, ServiceAddress, read_operator
+from fennelpoint.operator_config import Announce, BgpPeer, ServiceAddress, read_operator
+from fennelpoint.rate_limited_log import complain, log
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 CHECK_EVERY, CHECK_TIMEOUT = 0.2, 0.5   # s between two self-checks; until one has failed
 NEEDS = ("listener", "quotas")
--- a/fennelpoint/bgp/speaker.py
+++ b/fennelpoint/bgp/speaker.py
@@ -9,7 +9,7 @@
 from fennelpoint.bgp.messages import Cease, Notification, shutdown
 from fennelpoint.bgp.session import Action, Close, Connect, Neighbor, Peer, Send, Went
 from fennelpoint.bgp.updates import Network, Path
-from fennelpoint.notice import log
+from fennelpoint.rate_limited_log import log
 
 CONNECT_TIMEOUT = 5.0   # s
 MOST_UNREAD = 1 << 18   # bytes that a peer may leave unread before its connection is ended
--- a/fennelpoint/cells/edit.py
+++ b/fennelpoint/cells/edit.py
@@ -10,7 +10,7 @@
 
 from fennelpoint.cells.assign import Assignment
 from fennelpoint.cells.plan import read_plan
-from fennelpoint.faults import Fault, FaultyFile
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 
 def move(path: str | Path, agency: str, cell: str) -> tuple[int, str]:
--- a/fennelpoint/cells/plan.py
+++ b/fennelpoint/cells/plan.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from fennelpoint.faults import Fault, FaultyFile
-from fennelpoint.operator import figure, read_typed
+from fennelpoint.operator_config import figure, read_typed
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 AGENCY = re.compile(r"[0-9a-f]{16}")
 MOST_CUSTOMER = 1 << 33
--- a/fennelpoint/cells/service.py
+++ b/fennelpoint/cells/service.py
@@ -10,9 +10,9 @@
 from fennelpoint.cells.moves import Moves
 from fennelpoint.cells.plan import Plan, check_change, read_plan
 from fennelpoint.cells.poison import Poison
-from fennelpoint.faults import FaultyFile
-from fennelpoint.notice import log
-from fennelpoint.part import Part
+from fennelpoint.component import Part
+from fennelpoint.rate_limited_log import log
+from fennelpoint.validation_errors import FaultyFile
 
 
 class CellsService(Part):
--- a/fennelpoint/cli.py
+++ b/fennelpoint/cli.py
@@ -11,7 +11,7 @@
 import click
 
 from fennelpoint.cli_fleet import fleet
-from fennelpoint.faults import Fault, FaultyFile
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 FAULTY = 2      # exit code of a check that found faults
 FILE = click.Path(dir_okay=False)
@@ -73,7 +73,7 @@
 
     Exits with 0, or with 2 and the faults on standard error.
     """
-    from fennelpoint.checks import check_file
+    from fennelpoint.cli_checks import check_file
 
     faults: list[Fault] = []
     try:
@@ -222,7 +222,7 @@
 @click.option("--json", "as_json", is_flag=True, help="The table as JSON.")
 def routes(file: str, config: str | None, as_json: bool) -> None:
     """The route table of a description, as the ingress sees it."""
-    from fennelpoint.checks import describe, table_lines
+    from fennelpoint.cli_checks import describe, table_lines
 
     table = _table(file, config)
     if as_json:
@@ -241,7 +241,7 @@
 
     Exits with 1 where the ingress would not send it on.
     """
-    from fennelpoint.checks import explain as explanation
+    from fennelpoint.cli_checks import explain as explanation
 
     found, lines = explanation(_table(file, config), method, url)
     for line in lines:
--- a/fennelpoint/checks.py
+++ b/fennelpoint/cli_checks.py
@@ -5,11 +5,11 @@
 from pathlib import Path
 
 from fennelpoint.cells import read_plan
-from fennelpoint.faults import Fault, FaultyFile
-from fennelpoint.operator import Announce, Control, read_operator
+from fennelpoint.operator_config import Announce, Control, read_operator
 from fennelpoint.routes.description import Site, load
 from fennelpoint.routes.paths import PathError, split_target
 from fennelpoint.routes.table import Route, RouteTable, Units, ValueFault
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 DESCRIPTIONS = (".yaml", ".yml", ".json")
 
--- a/fennelpoint/cli_fleet.py
+++ b/fennelpoint/cli_fleet.py
@@ -12,7 +12,7 @@
 
 import click
 
-from fennelpoint.faults import Fault, FaultyFile
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 FAULTY, FAILED = 2, 1
 CODES = {"ok": 0, "behind": 3, "unknown": 4, "out": 5}      # of `status`: how the worst member stands
@@ -38,7 +38,7 @@
 def _keepers(operator_file: str):
     """The keepers as the file names them, or the end of the command."""
     from fennelpoint.fleet.ask import Fleet
-    from fennelpoint.operator import address_of, read_operator
+    from fennelpoint.operator_config import address_of, read_operator
 
     try:
         operator = read_operator(operator_file)
@@ -240,7 +240,7 @@
     """Why an ingress is behind or out, and what will happen when."""
     from fennelpoint.fleet import ask
     from fennelpoint.fleet.wire import CallFailed, call_once
-    from fennelpoint.operator import address_of
+    from fennelpoint.operator_config import address_of
 
     async def look() -> tuple:
         view = await _keepers(operator_file).view()
--- a/fennelpoint/parts.py
+++ b/fennelpoint/components.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from fennelpoint.part import Carrier, Part
+from fennelpoint.component import Carrier, Part
 
 
 def _door(ingress: Carrier) -> Part | None:
@@ -16,7 +16,7 @@
     config = ingress.config
     if config.door is None:
         return None
-    from fennelpoint.descriptors import plan
+    from fennelpoint.file_descriptors import plan
     from fennelpoint.net.admin_socket import Door
 
     def stand() -> str:
--- a/fennelpoint/control.py
+++ b/fennelpoint/control.py
@@ -8,12 +8,12 @@
 from random import Random
 
 from fennelpoint import interface as api
+from fennelpoint.bookkeeping import PERIOD_TOKEN, PUMP, Ground, Timers, allowed
+from fennelpoint.queueing import Waiting
 from fennelpoint.quotas import SHORT_FOR, Quotas
 from fennelpoint.regulation import Regulation
 from fennelpoint.selection import LATE_MARGIN, PAUSE_FULL, REST_MOST, Selection
 from fennelpoint.state import Try
-from fennelpoint.upkeep import PERIOD_TOKEN, PUMP, Ground, Timers, allowed
-from fennelpoint.waiting import Waiting
 
 RETRY_SHARE, RETRY_BURST = 0.1, 10.0    # further attempts a first one, saved up
 
--- a/fennelpoint/fleet/agree.py
+++ b/fennelpoint/fleet/agree.py
@@ -37,7 +37,7 @@
 )
 from fennelpoint.fleet.store import Store
 from fennelpoint.fleet.wire import CallFailed, Line
-from fennelpoint.notice import log
+from fennelpoint.rate_limited_log import log
 
 WAIT = 0.5          # s for a keeper to answer a message
 ROUNDS = 12         # tries of a change
--- a/fennelpoint/fleet/contents.py
+++ b/fennelpoint/fleet/contents.py
@@ -17,9 +17,9 @@
 from fennelpoint import interface as api
 from fennelpoint.cells.plan import Plan as CellPlan
 from fennelpoint.cells.plan import read_plan
-from fennelpoint.faults import Fault, FaultyFile
 from fennelpoint.fleet.state import LOOSENING, TIGHTENING
-from fennelpoint.operator import figure, read_typed
+from fennelpoint.operator_config import figure, read_typed
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 SCHEMA = 1
 MOST = 4 << 20      # bytes of a content
--- a/fennelpoint/fleet/figures.py
+++ b/fennelpoint/fleet/figures.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 from fennelpoint import interface as api
+from fennelpoint.bookkeeping import part
 from fennelpoint.control import Controller
-from fennelpoint.upkeep import part
 
 
 def attach(control: Controller) -> None:
--- a/fennelpoint/fleet/keeper.py
+++ b/fennelpoint/fleet/keeper.py
@@ -19,7 +19,6 @@
 
 import structlog
 
-from fennelpoint.faults import Fault, FaultyFile
 from fennelpoint.fleet import audit, contents, logs, state
 from fennelpoint.fleet.agree import (
     MOST_VALUE,
@@ -33,8 +32,9 @@
 from fennelpoint.fleet.register import Keeper, majority
 from fennelpoint.fleet.store import Store
 from fennelpoint.fleet.wire import CallFailed, Line, Service, call_once
-from fennelpoint.operator import Keeper as Section
-from fennelpoint.operator import address_of, read_operator
+from fennelpoint.operator_config import Keeper as Section
+from fennelpoint.operator_config import address_of, read_operator
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 LOOK = 0.1          # s between two reads of the record
 GOSSIP = 0.25       # s between two words of the other keepers
--- a/fennelpoint/fleet/part.py
+++ b/fennelpoint/fleet/part.py
@@ -22,14 +22,14 @@
 import structlog
 
 from fennelpoint import interface as api
-from fennelpoint.faults import Fault, FaultyFile
+from fennelpoint.component import Carrier, Part
 from fennelpoint.fleet import audit, contents, figures, logs, state
 from fennelpoint.fleet.licence import Act, Action, Admit, Fetch, Licence, PeerWord, Shut, Told
 from fennelpoint.fleet.ring import Ring
 from fennelpoint.fleet.wire import CallFailed, Line, Service
 from fennelpoint.lifecycle import Event
-from fennelpoint.operator import FleetSection, address_of
-from fennelpoint.part import Carrier, Part
+from fennelpoint.operator_config import FleetSection, address_of
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 if TYPE_CHECKING:
     from fennelpoint.routes.table import RouteTable
--- a/fennelpoint/fleet/ring.py
+++ b/fennelpoint/fleet/ring.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from zlib import crc32
 
-from fennelpoint.notice import log
+from fennelpoint.rate_limited_log import log
 
 MOST = 256 * 1024   # bytes of one of the two files
 
--- a/fennelpoint/fleet/store.py
+++ b/fennelpoint/fleet/store.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from fennelpoint.fleet.register import Cell, Keeper
-from fennelpoint.notice import log
+from fennelpoint.rate_limited_log import log
 
 SCHEMA = 1
 TABLES = """
--- a/fennelpoint/fleet/wire.py
+++ b/fennelpoint/fleet/wire.py
@@ -9,7 +9,7 @@
 import json
 from collections.abc import Awaitable, Callable
 
-from fennelpoint.notice import complain
+from fennelpoint.rate_limited_log import complain
 
 MOST_LINE = 6 << 20     # bytes: a content in base64 is the largest
 MOST_CALLERS = 1024     # connections at a time
--- a/fennelpoint/handover.py
+++ b/fennelpoint/handover.py
@@ -10,7 +10,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.control import Controller
-from fennelpoint.record import entries, finite, same_shape
+from fennelpoint.handover_record import entries, finite, same_shape
 from fennelpoint.state import Crowd, Customer
 
 MOST_TOLD = 8000    # customers, the last seen first
--- a/fennelpoint/invariants.py
+++ b/fennelpoint/invariants.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from fennelpoint.notice import complain
+from fennelpoint.rate_limited_log import complain
 
 
 class Invariant(Enum):
--- a/fennelpoint/net/admin_socket.py
+++ b/fennelpoint/net/admin_socket.py
@@ -9,9 +9,9 @@
 import time
 from collections.abc import Callable
 
+from fennelpoint.component import Part
 from fennelpoint.lifecycle import Event, IllegalMove, LifeCycle
-from fennelpoint.notice import log
-from fennelpoint.part import Part
+from fennelpoint.rate_limited_log import log
 
 MOST_LINE = 128     # bytes
 PATIENCE = 4.5      # s for a caller to say its line
--- a/fennelpoint/net/backends.py
+++ b/fennelpoint/net/backends.py
@@ -18,11 +18,11 @@
 
 import httptools
 
-from fennelpoint.bodies import COMMIT, MOST, STOPPED, WHOLE, Budget, Upload
+from fennelpoint.body_buffering import COMMIT, MOST, STOPPED, WHOLE, Budget, Upload
 from fennelpoint.connecting import connect
 from fennelpoint.interface import BackendState, Roster, RosterKind, Status
 from fennelpoint.net.flow_control import Paced
-from fennelpoint.notice import complain
+from fennelpoint.rate_limited_log import complain
 
 MOST_RECEIVED = 2 * WHOLE   # bytes of a whole answer with its head and framing
 NOBODYS = "is nobody's any more"
--- a/fennelpoint/net/controller_host.py
+++ b/fennelpoint/net/controller_host.py
@@ -15,13 +15,13 @@
 from typing import Protocol
 
 from fennelpoint import interface as api
-from fennelpoint.bodies import Budget, Upload
+from fennelpoint.body_buffering import Budget, Upload
 from fennelpoint.control import Controller
 from fennelpoint.invariants import Invariant, violations
 from fennelpoint.net.backends import Answer, Backends, Exchange, load_report
 from fennelpoint.net.controller_runtime import Clock, Driver
 from fennelpoint.net.counter import Counter
-from fennelpoint.notice import complain, log
+from fennelpoint.rate_limited_log import complain, log
 
 LEFT_AT_WORK = 0.5  # s after its client left, within which the work for a repeatable request has to end
 
--- a/fennelpoint/net/counter.py
+++ b/fennelpoint/net/counter.py
@@ -16,7 +16,7 @@
 
 from fennelpoint.connecting import connect
 from fennelpoint.interface import CounterReply, Status
-from fennelpoint.notice import complain
+from fennelpoint.rate_limited_log import complain
 
 CALL_TIMEOUT = 0.05     # s, where the settings tell none
 CONNECT_TIMEOUT = 0.25  # s
--- a/fennelpoint/net/discovery.py
+++ b/fennelpoint/net/discovery.py
@@ -15,7 +15,7 @@
 import httptools
 
 from fennelpoint import interface as api
-from fennelpoint.notice import complain
+from fennelpoint.rate_limited_log import complain
 
 HOLD = 2.0              # s that a watch may wait: short, so that a dead connection is noticed soon
 HOLD_ASKED = 20.0       # s where each watch may cost the service a call
--- a/fennelpoint/net/flow_control.py
+++ b/fennelpoint/net/flow_control.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from fennelpoint.bodies import READ, Budget
+from fennelpoint.body_buffering import READ, Budget
 
 _shared = bytearray(READ)   # filled and emptied within one turn of the loop
 _view = memoryview(_shared)
--- a/fennelpoint/net/heartbeat.py
+++ b/fennelpoint/net/heartbeat.py
@@ -10,7 +10,7 @@
 import os
 from collections.abc import Callable
 
-from fennelpoint.part import Part
+from fennelpoint.component import Part
 
 EVERY = 0.2     # s between two beats
 AGAIN = 0.5     # s between two tries to reach the announcer
--- a/fennelpoint/net/hot_restart.py
+++ b/fennelpoint/net/hot_restart.py
@@ -1,7 +1,7 @@
 """Generations of one ingress in a folder they share: who lives, what one tells the next.
 
 A generation's file is locked from before it has its name until its process ends, however that ends.  Nothing
-is decided here: `succession.py` does that; loaded only where the platform holds the clients' socket.
+is decided here: `restart_coordination.py` does that; loaded only where the platform holds the clients' socket.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 import time
 from pathlib import Path
 
-from fennelpoint.notice import log
-from fennelpoint.record import MOST, BadRecord, Record, decode, encode
+from fennelpoint.handover_record import MOST, BadRecord, Record, decode, encode
+from fennelpoint.rate_limited_log import log
 
 SERVES = b"serves\n"
 
--- a/fennelpoint/net/process_group.py
+++ b/fennelpoint/net/process_group.py
@@ -1,16 +1,16 @@
-"""This process's part among those of its ingress, on sockets: steps of `succession.py` carried out."""
+"""This process's part among those of its ingress, on sockets: steps of `restart_coordination.py` carried out."""
 
 from __future__ import annotations
 
 import time
 
 from fennelpoint import interface as api
-from fennelpoint.descriptors import plan
+from fennelpoint.component import Carrier, Part
+from fennelpoint.file_descriptors import plan
 from fennelpoint.handover import attach, tell, tell_rest
 from fennelpoint.net.hot_restart import Relay
-from fennelpoint.notice import log
-from fennelpoint.part import Carrier, Part
-from fennelpoint.succession import Give, Serve, Share, Succession, Take
+from fennelpoint.rate_limited_log import log
+from fennelpoint.restart_coordination import Give, Serve, Share, Succession, Take
 
 TURN = 0.05     # s between looks at a predecessor, until we serve; then each sweep
 
--- a/fennelpoint/net/request_parser.py
+++ b/fennelpoint/net/request_parser.py
@@ -7,7 +7,7 @@
 from functools import lru_cache
 
 from fennelpoint import interface as api
-from fennelpoint.bodies import Upload
+from fennelpoint.body_buffering import Upload
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.controller_host import Asked
 
--- a/fennelpoint/net/route_matching.py
+++ b/fennelpoint/net/route_matching.py
@@ -9,16 +9,16 @@
 from functools import lru_cache
 
 from fennelpoint import interface as api
-from fennelpoint.bodies import Upload
-from fennelpoint.faults import FaultyFile
+from fennelpoint.body_buffering import Upload
+from fennelpoint.component import Carrier, Part
 from fennelpoint.net.controller_host import Asked
 from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
-from fennelpoint.notice import log
-from fennelpoint.operator import Routes, read_operator
-from fennelpoint.part import Carrier, Part
+from fennelpoint.operator_config import Routes, read_operator
+from fennelpoint.rate_limited_log import log
 from fennelpoint.routes.follower import Follower
 from fennelpoint.routes.paths import PathError, split_target
 from fennelpoint.routes.table import RouteTable, ValueFault
+from fennelpoint.validation_errors import FaultyFile
 
 MOST_KEY = 256      # bytes of an idempotency key
 
--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -17,8 +17,8 @@
 
 import httptools
 
-from fennelpoint.bodies import MOST, STOPPED, Account, Pace, Upload
-from fennelpoint.descriptors import YOUNG, Leaves, Plan, who_leaves
+from fennelpoint.body_buffering import MOST, STOPPED, Account, Pace, Upload
+from fennelpoint.file_descriptors import YOUNG, Leaves, Plan, who_leaves
 from fennelpoint.lifecycle import LifeCycle
 from fennelpoint.net.backends import HOP_BY_HOP, Answer
 from fennelpoint.net.controller_host import Asked, Host, Source
--- a/fennelpoint/operator.py
+++ b/fennelpoint/operator_config.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import get_args, get_origin, get_type_hints
 
-from fennelpoint.faults import Fault, FaultyFile
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 SCHEMA = 1      # of the file; a file of another one is refused
 MOST_BYTES = 1024 * 1024
--- a/fennelpoint/waiting.py
+++ b/fennelpoint/queueing.py
@@ -6,11 +6,11 @@
 from math import inf
 
 from fennelpoint import interface as api
+from fennelpoint.bookkeeping import PUMP, PUMP_TOKEN, Concern, Ground, allowed
 from fennelpoint.quotas import Quotas
 from fennelpoint.regulation import Regulation
 from fennelpoint.selection import LATE_MARGIN, REST_MOST, Selection
 from fennelpoint.state import Try
-from fennelpoint.upkeep import PUMP, PUMP_TOKEN, Concern, Ground, allowed
 
 
 class Waiting(Concern):
--- a/fennelpoint/quotas.py
+++ b/fennelpoint/quotas.py
@@ -6,9 +6,8 @@
 from math import inf
 
 from fennelpoint import interface as api
-from fennelpoint import tally
-from fennelpoint.state import Ask, Customer, Try
-from fennelpoint.upkeep import (
+from fennelpoint import shared_counter
+from fennelpoint.bookkeeping import (
     FORGET,
     LEARN,
     PUMP,
@@ -21,6 +20,7 @@
     part,
     settled,
 )
+from fennelpoint.state import Ask, Customer, Try
 
 COUNT_PERIOD = 1.0  # s; a counter call has a price
 SILENT_AFTER, SILENT_CALLS, FORGET_COUNT = 1.0, 3, 60.0  # the counter is silent: s, calls; a count's life, s
@@ -195,7 +195,7 @@
         elif c.left + plan.rate * (now - c.left_at) < units:  # whatever the others do
             t.inside = False
         elif self.asking >= 1.0 or self.random.random() < part:
-            own = units if c.odds >= EVEN else tally.MARK   # likely short: it only reads at first
+            own = units if c.odds >= EVEN else shared_counter.MARK   # likely short: it only reads at first
             use, c.untold = self._untold(c, now), 0.0
             self._tell(c, own + use, now, t=t, own=own, use=use)
             t.not_before = t.good_until = now + 2 * self.settings.counter_timeout   # no answer may come
@@ -213,10 +213,10 @@
         return c.untold
 
     def _tell(self, c: Customer, amount: float, now: float, last: bool = False, **values: object) -> None:
-        name, start = tally.name_of(c.key, now - tally.EPOCH * last)
-        name += self.stamp * tally.STAMP
+        name, start = shared_counter.name_of(c.key, now - shared_counter.EPOCH * last)
+        name += self.stamp * shared_counter.STAMP
         self.asks.setdefault(name, deque()).append(Ask(c, start, now, last=last, **values))
-        self.out.append(api.Count(name, amount, tally.LIFE))
+        self.out.append(api.Count(name, amount, shared_counter.LIFE))
 
     def give_back(self, t: Try, now: float) -> None:
         """Units that the counter was told of and that nothing was sent for."""
@@ -233,7 +233,7 @@
         t, plan = ask.t, self.settings.plans[ask.customer.plan]
         if not ok and reply.status is not api.Status.TIMEOUT:   # else it may have been added
             self._untold(ask.customer, now, ask.use)
-        elif ok and ask.last and (debt := tally.owed(plan, ask.at - ask.start, reply.total)) > 0.0:
+        elif ok and ask.last and (debt := shared_counter.owed(plan, ask.at - ask.start, reply.total)) > 0.0:
             self._tell(ask.customer, debt, now)
         elif ok and t is not None and self._judge(ask, plan, reply.total - ask.own - ask.fix, now):
             return None     # it waits for one more answer
@@ -248,12 +248,12 @@
         waits = t.ask.request in self.line.held     # else its client left
         found, back = False, 0.0
         if ask.fix:
-            found = not tally.known(plan, age, total)
-            back = ask.fix * tally.twice(plan, age, total, ask.fix)
+            found = not shared_counter.known(plan, age, total)
+            back = ask.fix * shared_counter.twice(plan, age, total, ask.fix)
             total += ask.fix - back
         lost = c.left_at >= ask.start   # if it is new: it goes by what it told here
         fresh = min(plan.burst, c.left + plan.rate * (now - c.left_at) if lost else plan.burst)
-        fix, level = tally.lacks(plan, age, total, fresh)
+        fix, level = shared_counter.lacks(plan, age, total, fresh)
         if waits and (fix or ask.own < units <= level) and not ask.fix:     # guards reads that met, too
             t.not_before = t.good_until = now + 2 * self.settings.counter_timeout
             self._tell(c, fix + units - ask.own, now, t=t, own=units, fix=fix)
@@ -262,12 +262,12 @@
             self._tell(c, 0.0, now, last=True)
         t.inside = t.told = waits and not fix and level >= units
         # Guards the ceiling against counts that were lost: what is not proven comes from our own part.
-        if plan.ceiling_rate and level - tally.unproven(plan, age, total) < units:
+        if plan.ceiling_rate and level - shared_counter.unproven(plan, age, total) < units:
             t.good_until = 0.0
-        if fix or plan.ceiling_rate and level < -tally.DEEP * plan.burst:
+        if fix or plan.ceiling_rate and level < -shared_counter.DEEP * plan.burst:
             t.inside = None     # nobody can tell
         took = units * t.told
-        if abs(change := took - ask.own - back) > 2.0 * tally.MARK:
+        if abs(change := took - ask.own - back) > 2.0 * shared_counter.MARK:
             self._tell(c, change, now, use=took - ask.own)
         c.left, c.left_at, c.short_at = max(0.0, level - took), now, c.short_at if t.inside else now
         c.odds += LEARN * (t.told - c.odds)
@@ -275,8 +275,8 @@
         c.level = 0.0 if t.inside is False else c.level     # to go by while the counter is silent
         # Guards against a customer kept out by corrections that met, or by use told late: no true store is
         # below nothing.  Not under a ceiling: what several put right at once would pass it.
-        deep = level < -tally.DEEP * plan.burst and not plan.ceiling_rate
-        if deep and self.random.random() < tally.DEEP_FIX:
+        deep = level < -shared_counter.DEEP * plan.burst and not plan.ceiling_rate
+        if deep and self.random.random() < shared_counter.DEEP_FIX:
             self._tell(c, level, now)
         return False
 
--- a/fennelpoint/regulation.py
+++ b/fennelpoint/regulation.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
+from fennelpoint.bookkeeping import FORGET, PERIOD, PERIOD_TOKEN, Concern, Ground
 from fennelpoint.state import Customer, Cut, Try
-from fennelpoint.upkeep import FORGET, PERIOD, PERIOD_TOKEN, Concern, Ground
 
 STEPS, STEP = 3, 0.05   # m, and the share of the rate sent that one constant step takes off
 MOST_CUT, RETURN = 2.0, 2.0  # most steps taken off one customer at a time; steps given back: no idle room
--- a/fennelpoint/succession.py
+++ b/fennelpoint/restart_coordination.py
@@ -1,6 +1,6 @@
 """Processes of one ingress: who lives, who serves, what each does about the others.
 
-Pure.  `net/relay.py` tells which generations live (each holds its file locked) and what came of them; what is
+Pure.  `net/hot_restart.py` tells which generations live (each holds its file locked) and what came of them; what is
 due comes back as steps.
 """
 
--- a/fennelpoint/routes/__init__.py
+++ b/fennelpoint/routes/__init__.py
@@ -4,7 +4,7 @@
 (`description`, `source`) needs the extra `routes` and is done by a process of its own (`worker`).
 """
 
-from fennelpoint.faults import Fault, FaultyFile
 from fennelpoint.routes.table import Route, RouteTable, Units
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 __all__ = ["Fault", "FaultyFile", "Route", "RouteTable", "Units"]
--- a/fennelpoint/routes/changes.py
+++ b/fennelpoint/routes/changes.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from fennelpoint.faults import Fault
 from fennelpoint.routes.table import RouteTable
+from fennelpoint.validation_errors import Fault
 
 
 @dataclass(frozen=True, slots=True)
--- a/fennelpoint/routes/description.py
+++ b/fennelpoint/routes/description.py
@@ -19,13 +19,13 @@
 
 import jsonschema_rs
 
-from fennelpoint.faults import MOST_FAULTS, Fault, FaultyFile
 from fennelpoint.interface import Effect, Settings
 from fennelpoint.routes.extension import NAME, SCHEMA, Reader, Said, short
 from fennelpoint.routes.paths import PathError, Segment, Template, overlap, parse_template
 from fennelpoint.routes.refs import At, Library, RefError
 from fennelpoint.routes.stamps import Stamp, stamp
 from fennelpoint.routes.table import Parameter, Route, Units
+from fennelpoint.validation_errors import MOST_FAULTS, Fault, FaultyFile
 
 METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")
 SAFE_METHODS = frozenset(("get", "head", "options"))    # RFC 9110, section 9.2.1
--- a/fennelpoint/routes/extension.py
+++ b/fennelpoint/routes/extension.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from fennelpoint.faults import Fault
 from fennelpoint.routes.refs import At, Library, RefError
+from fennelpoint.validation_errors import Fault
 
 NAME = "x-larchwing"
 _FIGURE = {"type": "number", "exclusiveMinimum": 0}
--- a/fennelpoint/routes/follower.py
+++ b/fennelpoint/routes/follower.py
@@ -7,13 +7,13 @@
 from typing import Protocol
 
 from fennelpoint import interface as api
-from fennelpoint.faults import Fault
-from fennelpoint.notice import log
-from fennelpoint.operator import Routes
+from fennelpoint.operator_config import Routes
+from fennelpoint.rate_limited_log import log
 from fennelpoint.routes import worker
 from fennelpoint.routes.changes import Action, Changes, GiveUp, Load, Report, Take
 from fennelpoint.routes.stamps import Stamp, stamp
 from fennelpoint.routes.table import RouteTable
+from fennelpoint.validation_errors import Fault
 
 TICK = 0.25         # s between looks at a load that is out
 MOST_LINES = 20     # faults logged of one description; `larchwing check` tells all
--- a/fennelpoint/routes/source.py
+++ b/fennelpoint/routes/source.py
@@ -15,7 +15,7 @@
 
 import yaml
 
-from fennelpoint.faults import Fault, FaultyFile
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 MOST_BYTES = 12 * 1024 * 1024   # of one file; 10,000 operations take about 4 MB
 MOST_NODES = 600_000            # values of one file, aliases counted as often as they are used
--- a/fennelpoint/routes/worker.py
+++ b/fennelpoint/routes/worker.py
@@ -15,10 +15,10 @@
 import sys
 from typing import NamedTuple
 
-from fennelpoint.faults import Fault
 from fennelpoint.interface import Settings
 from fennelpoint.routes.stamps import Stamp
 from fennelpoint.routes.table import RouteTable
+from fennelpoint.validation_errors import Fault
 
 NICE = 10   # the ingress has the core first
 CHUNK = 50  # routes
--- a/fennelpoint/selection.py
+++ b/fennelpoint/selection.py
@@ -5,9 +5,9 @@
 from math import inf
 
 from fennelpoint import interface as api
-from fennelpoint.choice import cold_odds, cold_share
+from fennelpoint.bookkeeping import LEARN, PERIOD, PUMP, Concern, Fleet, Ground, allowed, same_group
+from fennelpoint.slow_start import cold_odds, cold_share
 from fennelpoint.state import Backend, Crowd, Try
-from fennelpoint.upkeep import LEARN, PERIOD, PUMP, Concern, Fleet, Ground, allowed, same_group
 
 LATE_MARGIN = 3.0   # usual latencies between release and aim
 FIRST_GUESS, FASTER, SLOWER = 0.12, 0.1, 0.03   # of the aim: a first latency; an answer's weights
--- a/fennelpoint/standins/world.py
+++ b/fennelpoint/standins/world.py
@@ -10,13 +10,13 @@
 
 from fennelpoint.__main__ import Config, Ingress
 from fennelpoint.cells import read_plan
-from fennelpoint.faults import FaultyFile
 from fennelpoint.net.discovery import parse_address, parse_list
-from fennelpoint.operator import Operator
+from fennelpoint.operator_config import Operator
 from fennelpoint.routes.worker import read_now
 from fennelpoint.settings import from_json
 from fennelpoint.standins.servers import Backend, Count, List, member
 from fennelpoint.standins.settings import SETTINGS
+from fennelpoint.validation_errors import FaultyFile
 
 
 def run(coroutine: Awaitable, seconds: float = 30.0) -> None:
--- a/fennelpoint/system/proxy/controller.py
+++ b/fennelpoint/system/proxy/controller.py
@@ -11,6 +11,7 @@
 from math import inf
 
 from fennelpoint import interface as api
+from fennelpoint.bookkeeping import allowed
 from fennelpoint.cells.confined import CelledController
 from fennelpoint.state import Try
 from fennelpoint.system.proxy.events import (
@@ -25,7 +26,6 @@
 from fennelpoint.system.proxy.placement import NearestBackend
 from fennelpoint.system.proxy.queue_timeout import MOST_ADVICE, BriefWaiting
 from fennelpoint.system.proxy.retry_budget import RetryBudget
-from fennelpoint.upkeep import allowed
 
 
 class Decider(CelledController):
--- a/fennelpoint/system/proxy/leased_quotas.py
+++ b/fennelpoint/system/proxy/leased_quotas.py
@@ -8,10 +8,10 @@
 from math import inf
 
 from fennelpoint import interface as api
+from fennelpoint.bookkeeping import Ground
 from fennelpoint.quotas import EVEN, Quotas
 from fennelpoint.state import Customer, Try
 from fennelpoint.system.proxy.events import UnitsGranted
-from fennelpoint.upkeep import Ground
 
 FRESH = 1.0         # s of an own share that a process has saved up when it begins
 SILENT, TAKEOVER = 0.2, 1.9     # s without an answer after which nobody may allocate; s until another one does so
--- a/fennelpoint/system/proxy/placement.py
+++ b/fennelpoint/system/proxy/placement.py
@@ -6,11 +6,11 @@
 from math import inf
 
 from fennelpoint import interface as api
+from fennelpoint.bookkeeping import Ground, allowed
 from fennelpoint.cells.confined import Confined
 from fennelpoint.selection import FIRST_GUESS
 from fennelpoint.state import Backend, Crowd, Try
 from fennelpoint.system.proxy.events import BackendPlaces
-from fennelpoint.upkeep import Ground, allowed
 
 QUEUE = 1.0  # of a backend's slots, own attempts out beyond them
 SECOND = 1.02  # s in which a cold backend's requests are counted, with what timers and clocks are off
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -8,8 +8,8 @@
 from random import Random
 
 from fennelpoint import interface as api
-from fennelpoint.bodies import Budget, budget_of
-from fennelpoint.descriptors import plan
+from fennelpoint.body_buffering import Budget, budget_of
+from fennelpoint.file_descriptors import plan
 from fennelpoint.invariants import Invariant, violations
 from fennelpoint.lifecycle import Event as Life
 from fennelpoint.lifecycle import LifeCycle
--- a/fennelpoint/system/proxy/queue_timeout.py
+++ b/fennelpoint/system/proxy/queue_timeout.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from fennelpoint import interface as api
+from fennelpoint.bookkeeping import PUMP_TOKEN, Ground
+from fennelpoint.queueing import Waiting
 from fennelpoint.state import Try
 from fennelpoint.system.proxy.events import UnitsNeeded
 from fennelpoint.system.proxy.fair_queueing import FairOrder
-from fennelpoint.upkeep import PUMP_TOKEN, Ground
-from fennelpoint.waiting import Waiting
 
 HELD_PART = 0.22  # of an aim that a request waits without having been offered to a backend
 ADVICE, MOST_ADVICE = 0.15, 0.5  # s after which a refused client is told to come again: least and most
--- a/fennelpoint/system/proxy/request_parser.py
+++ b/fennelpoint/system/proxy/request_parser.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from fennelpoint import interface as api
-from fennelpoint.bodies import Upload
+from fennelpoint.body_buffering import Upload
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.controller_host import Asked
 from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
--- a/fennelpoint/xds/limits.py
+++ b/fennelpoint/xds/limits.py
@@ -20,7 +20,7 @@
 from xds.type.matcher.v3 import matcher_pb2
 
 from fennelpoint import interface as api
-from fennelpoint.operator import Control
+from fennelpoint.operator_config import Control
 from fennelpoint.routes.table import Route
 from fennelpoint.xds.protobuf import seconds
 
--- a/fennelpoint/xds/quotas.py
+++ b/fennelpoint/xds/quotas.py
@@ -19,8 +19,8 @@
 from fennelpoint import interface as api
 from fennelpoint.net.controller_runtime import Clock, Driver
 from fennelpoint.net.counter import Counter
-from fennelpoint.notice import complain, log
-from fennelpoint.operator import Control
+from fennelpoint.operator_config import Control
+from fennelpoint.rate_limited_log import complain, log
 from fennelpoint.xds.budget import Budget
 from fennelpoint.xds.desk import Verdict
 from fennelpoint.xds.leases import Abandon, Assign, Bank, Bucket
--- a/fennelpoint/xds/resources.py
+++ b/fennelpoint/xds/resources.py
@@ -16,8 +16,8 @@
 from envoy.extensions.filters.network.http_connection_manager.v3 import http_connection_manager_pb2
 
 from fennelpoint import interface as api
-from fennelpoint.choice import PROXY_CAUTION, cold_odds, cold_share
 from fennelpoint.routes.table import RouteTable
+from fennelpoint.slow_start import PROXY_CAUTION, cold_odds, cold_share
 from fennelpoint.xds.limits import Limits
 from fennelpoint.xds.membership import Address
 from fennelpoint.xds.protobuf import packed, seconds
--- a/fennelpoint/xds/server.py
+++ b/fennelpoint/xds/server.py
@@ -25,8 +25,8 @@
 from fennelpoint import interface as api
 from fennelpoint.lifecycle import Event, LifeCycle
 from fennelpoint.net.discovery import Address, Discovery
-from fennelpoint.notice import complain, log
-from fennelpoint.operator import Control
+from fennelpoint.operator_config import Control
+from fennelpoint.rate_limited_log import complain, log
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.xds.budget import Budget
 from fennelpoint.xds.limits import Limits
--- a/fennelpoint/xds/service.py
+++ b/fennelpoint/xds/service.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 
 from fennelpoint.__main__ import Config, ConfigError, read_config
-from fennelpoint.faults import Fault, FaultyFile
-from fennelpoint.notice import log
-from fennelpoint.operator import Control, read_operator
+from fennelpoint.operator_config import Control, read_operator
+from fennelpoint.rate_limited_log import log
 from fennelpoint.routes.follower import Follower
 from fennelpoint.routes.worker import read_now
+from fennelpoint.validation_errors import Fault, FaultyFile
 from fennelpoint.xds.server import ControlServer
 from fennelpoint.xds.tls import check
 
--- a/fennelpoint/xds/tls.py
+++ b/fennelpoint/xds/tls.py
@@ -6,9 +6,9 @@
 
 import grpc
 
-from fennelpoint.faults import Fault, FaultyFile
-from fennelpoint.notice import complain, log
-from fennelpoint.operator import Control
+from fennelpoint.operator_config import Control
+from fennelpoint.rate_limited_log import complain, log
+from fennelpoint.validation_errors import Fault, FaultyFile
 
 FILES = ("tls_certificate", "tls_key", "tls_client_ca")
 MARKS = {"tls_certificate": b"-----BEGIN CERTIFICATE-----", "tls_key": b"PRIVATE KEY-----",
--- a/tests/cells/test_cells_serving.py
+++ b/tests/cells/test_cells_serving.py
@@ -4,7 +4,7 @@
 import contextlib
 from collections import Counter
 
-from fennelpoint.operator import read_operator
+from fennelpoint.operator_config import read_operator
 from fennelpoint.standins import (
     Backend,
     Fake,
--- a/tests/cells/test_plan.py
+++ b/tests/cells/test_plan.py
@@ -7,9 +7,9 @@
 
 from fennelpoint.cells.assign import Assignment
 from fennelpoint.cells.plan import Plan, check_change, read_plan
-from fennelpoint.checks import check_file
 from fennelpoint.cli import main
-from fennelpoint.faults import FaultyFile
+from fennelpoint.cli_checks import check_file
+from fennelpoint.validation_errors import FaultyFile
 
 GOOD = """version = 3
 [[cells]]
--- a/tests/fleet/test_figures.py
+++ b/tests/fleet/test_figures.py
@@ -8,12 +8,12 @@
 from conftest import CAPPED, HARD, World, make_settings, wide
 
 from fennelpoint import interface as api
-from fennelpoint.faults import FaultyFile
 from fennelpoint.fleet import contents
 from fennelpoint.fleet.state import LOOSENING, TIGHTENING
 from fennelpoint.standins.observer import faults, passed
 from fennelpoint.standins.rig import Rig, Shape, content_of, figures
 from fennelpoint.standins.world import run
+from fennelpoint.validation_errors import FaultyFile
 
 
 def sent(world: World, count: int, **ask) -> int:
--- a/tests/fleet/test_keeper.py
+++ b/tests/fleet/test_keeper.py
@@ -13,7 +13,7 @@
 from fennelpoint.fleet.register import Cell, Keeper
 from fennelpoint.fleet.store import Store
 from fennelpoint.fleet.wire import CallFailed, Line, Refusal, Service, call_once
-from fennelpoint.operator import FaultyFile, read_operator
+from fennelpoint.operator_config import FaultyFile, read_operator
 from fennelpoint.standins.observer import faults
 from fennelpoint.standins.rig import Rig, Shape, content_of
 from fennelpoint.standins.world import run
--- a/tests/routes/test_changes.py
+++ b/tests/routes/test_changes.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from fennelpoint.faults import Fault
 from fennelpoint.routes.changes import Changes, GiveUp, Load, Report, Take
+from fennelpoint.validation_errors import Fault
 
 FAULT = (Fault("d", 1, "", "wrong"),)
 TIMEOUT, SETTLE = 10.0, 0.5
--- a/tests/routes/test_same_decisions.py
+++ b/tests/routes/test_same_decisions.py
@@ -19,7 +19,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.net import controller_host as host_module
-from fennelpoint.operator import Operator, Routes
+from fennelpoint.operator_config import Operator, Routes
 from fennelpoint.standins import Backend, Count, ok, read_message, run, until, world
 
 REQUESTS = 70
--- a/tests/routes/test_serving.py
+++ b/tests/routes/test_serving.py
@@ -5,7 +5,7 @@
 import pytest
 from describing import GRADES, PLANS, write
 
-from fennelpoint.operator import Operator, Routes
+from fennelpoint.operator_config import Operator, Routes
 from fennelpoint.routes import worker
 from fennelpoint.standins import Backend, ask, ok, read_message, request, run, until, world
 
--- a/tests/routes/test_source.py
+++ b/tests/routes/test_source.py
@@ -5,9 +5,9 @@
 import pytest
 from describing import write
 
-from fennelpoint.faults import FaultyFile
 from fennelpoint.routes import source
 from fennelpoint.routes.source import read, scalar
+from fennelpoint.validation_errors import FaultyFile
 
 
 def fault(path) -> str:
--- a/tests/routes/test_under_change.py
+++ b/tests/routes/test_under_change.py
@@ -6,7 +6,7 @@
 from describing import HEAD, text
 
 from fennelpoint import interface as api
-from fennelpoint.operator import Operator, Routes
+from fennelpoint.operator_config import Operator, Routes
 from fennelpoint.quotas import SPARED
 from fennelpoint.standins import Backend, ok, read_message, run, until, world
 
--- a/tests/system/test_reused_addresses.py
+++ b/tests/system/test_reused_addresses.py
@@ -8,7 +8,7 @@
 import pytest
 
 from fennelpoint import interface as api
-from fennelpoint.bodies import Budget
+from fennelpoint.body_buffering import Budget
 from fennelpoint.net.backends import Exchange
 from fennelpoint.system.config_versions import Version
 from fennelpoint.system.proxy.controller_host import SystemBackends
--- a/tests/system/test_span.py
+++ b/tests/system/test_span.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fennelpoint import interface as api
-from fennelpoint.bodies import Budget
+from fennelpoint.body_buffering import Budget
 from fennelpoint.net.backends import Exchange
 from fennelpoint.net.controller_runtime import Clock
 from fennelpoint.net.request_parser import BadRequest, Reply
--- a/tests/system/test_whose_answer.py
+++ b/tests/system/test_whose_answer.py
@@ -6,7 +6,7 @@
 import pytest
 
 from fennelpoint import interface as api
-from fennelpoint.bodies import Budget
+from fennelpoint.body_buffering import Budget
 from fennelpoint.net.backends import Answer, Exchange
 from fennelpoint.net.controller_host import Asked, Ticket
 from fennelpoint.system.calls import find
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from fennelpoint.bodies import (
+from fennelpoint.body_buffering import (
     GRACE,
     LEAST_BUDGET,
     LEAST_HELD,
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -10,10 +10,10 @@
 import pytest
 from conftest import CAPPED, HARD, World, kinds, make_settings
 
-from fennelpoint import Controller, tally
+from fennelpoint import Controller, shared_counter
 from fennelpoint import interface as api
+from fennelpoint.shared_counter import base_of, name_of
 from fennelpoint.standins.ceilings import Day, Exact, Fault, Flow
-from fennelpoint.tally import base_of, name_of
 
 # Days that broke it before stores were put right first.
 FOUND = (1374, 5667, 6128, 6215, 7996, 10897, 12366, 12642, 12850, 13132, 13521, 15731, 16926, 17701, 18404,
@@ -82,7 +82,7 @@
 
 def test_checker_sees_stores_that_are_never_put_right(monkeypatch):
     """The cause that was found, in its plainest form: what ran over is let in by."""
-    monkeypatch.setattr(tally, "lacks", lambda plan, age, total, fresh: (0.0, plan.burst))
+    monkeypatch.setattr(shared_counter, "lacks", lambda plan, age, total, fresh: (0.0, plan.burst))
     (rule,) = flood(0, 23.0).play().exact.values()
     assert rule.nearness > 1.5
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -115,7 +115,7 @@
 
 def test_ingress_with_the_part_off_loads_none_of_it():
     code = ("import sys, fennelpoint.__main__\n"
-            "parts = ('fennelpoint.routes', 'fennelpoint.operator', 'fennelpoint.net.route_matching',\n"
+            "parts = ('fennelpoint.routes', 'fennelpoint.operator_config', 'fennelpoint.net.route_matching',\n"
             "         'fennelpoint.standins', 'fennelpoint.cli', 'fennelpoint.xds', 'fennelpoint.bgp',\n"
             "         'fennelpoint.net.heartbeat', 'fennelpoint.fleet', 'fennelpoint.net.process_group')\n"
             "libraries = ('yaml', 'jsonschema_rs', 'openapi_spec_validator', 'click', 'tomllib', 'grpc',\n"
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fennelpoint.bodies import MOST
+from fennelpoint.body_buffering import MOST
 from fennelpoint.net.backends import UpstreamConnection
 from fennelpoint.net.controller_host import LEFT_AT_WORK
 from fennelpoint.net.server import RESET
--- a/tests/test_concerns.py
+++ b/tests/test_concerns.py
@@ -6,12 +6,12 @@
 from conftest import HARD, READY, SAFE, UNSAFE, make_settings
 
 from fennelpoint import interface as api
+from fennelpoint.bookkeeping import PUMP_TOKEN, Ground, Timers
+from fennelpoint.queueing import Waiting
 from fennelpoint.quotas import Quotas
 from fennelpoint.regulation import Regulation
 from fennelpoint.selection import Selection
 from fennelpoint.state import Try
-from fennelpoint.upkeep import PUMP_TOKEN, Ground, Timers
-from fennelpoint.waiting import Waiting
 
 
 def ground(**changes) -> Ground:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fennelpoint.descriptors import MOST_CALLERS
+from fennelpoint.file_descriptors import MOST_CALLERS
 from fennelpoint.lifecycle import Phase
 from fennelpoint.net.admin_socket import MOST_LINE
 from fennelpoint.standins import Backend, ask, ok, read_message, request, run, until, world
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from test_bodies import unchunk
 
-from fennelpoint.bodies import MOST_HELD, READ, WHOLE, Budget
+from fennelpoint.body_buffering import MOST_HELD, READ, WHOLE, Budget
 from fennelpoint.interface import BackendState, Status
 from fennelpoint.lifecycle import Event, LifeCycle
 from fennelpoint.net.backends import Backends, Exchange, Upstream, UpstreamConnection
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,13 +11,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from fennelpoint import handover_record as records
 from fennelpoint import interface as api
-from fennelpoint import record as records
-from fennelpoint.descriptors import plan
+from fennelpoint.file_descriptors import plan
 from fennelpoint.handover import tell, tell_rest
+from fennelpoint.handover_record import AHEAD, MOST, OLDEST, BadRecord, Record, decode, encode
 from fennelpoint.net.hot_restart import Relay
-from fennelpoint.record import AHEAD, MOST, OLDEST, BadRecord, Record, decode, encode
-from fennelpoint.succession import WAIT, Give, Serve, Share, Succession, Take
+from fennelpoint.restart_coordination import WAIT, Give, Serve, Share, Succession, Take
 
 GOOD = Record("n0", "127.0.0.1:80", 3, 4, 1000.0, False, {"customers": [{"key": 1}], "window": 2.5})
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -33,7 +33,7 @@
 def test_parts_and_network_know_neither_the_ingress_nor_each_other():
     named = graph()
     for name in named:
-        if name.startswith("fennelpoint.net.") or name in ("fennelpoint.part", "fennelpoint.parts"):
+        if name.startswith("fennelpoint.net.") or name in ("fennelpoint.component", "fennelpoint.components"):
             assert "fennelpoint.__main__" not in named[name], name
-    assert "fennelpoint.parts" not in named["fennelpoint.net.controller_host"] | named["fennelpoint.part"]
+    assert "fennelpoint.components" not in named["fennelpoint.net.controller_host"] | named["fennelpoint.component"]
     assert not any(one.startswith("fennelpoint.cells") for one in named["fennelpoint.net.controller_host"])
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fennelpoint import bodies
+from fennelpoint import body_buffering
 from fennelpoint.lifecycle import Event
 from fennelpoint.standins import Backend, Fake, ok, read_message, request, run, until, world
 
@@ -191,7 +191,7 @@
             await until(lambda: len(made.ingress.server.flowing) == 8)
             await until(lambda: all(c.choked for c in made.ingress.server.flowing))
             budget = made.ingress.budget
-            assert budget.used <= 8 * (bodies.MOST_MARK + bodies.READ + 64)
+            assert budget.used <= 8 * (body_buffering.MOST_MARK + body_buffering.READ + 64)
             reader, writer = await made.connect()
             began = time.monotonic()
             writer.write(request())
@@ -249,7 +249,7 @@
 }
 
 
-@pytest.mark.parametrize("size", [100, 65_537, bodies.MOST_HELD - 1, bodies.MOST_HELD, MB, 3 * MB])
+@pytest.mark.parametrize("size", [100, 65_537, body_buffering.MOST_HELD - 1, body_buffering.MOST_HELD, MB, 3 * MB])
 @pytest.mark.parametrize("form", UPLOADS)
 def test_bodies_of_any_size_and_framing_reach_the_backend_unchanged(form, size):
     async def play() -> None:
@@ -278,7 +278,7 @@
             reader, writer = await made.connect()
             writer.write(request("book", body, left=60_000))
             await until(lambda: any(c.halted for c in made.ingress.server.connections))
-            assert made.ingress.budget.used <= 2 * bodies.MOST_HELD
+            assert made.ingress.budget.used <= 2 * body_buffering.MOST_HELD
             backend.go.set()
             line, _, answer = await read_message(reader)
             assert line.endswith("200 OK") and answer == b"%d" % len(body) and backend.seen == [body]
@@ -320,8 +320,8 @@
 
 def test_a_large_body_that_stops_coming_is_told_so_and_the_backend_never_has_it_whole(monkeypatch):
     async def play() -> None:
-        monkeypatch.setattr(bodies, "GRACE", 0.3)
-        monkeypatch.setattr(bodies, "RATE", 4e6)
+        monkeypatch.setattr(body_buffering, "GRACE", 0.3)
+        monkeypatch.setattr(body_buffering, "RATE", 4e6)
         backend = Taker()
         async with world(backend) as made:
             reader, writer = await made.connect()
@@ -572,7 +572,7 @@
             for _ in range(16):
                 assert await reader.readexactly(16 * 1024) == bytes(16 * 1024)
                 await asyncio.sleep(0.25)
-            assert given[0] < 32 and made.ingress.budget.used <= bodies.MOST_MARK + 256 * 1024
+            assert given[0] < 32 and made.ingress.budget.used <= body_buffering.MOST_MARK + 256 * 1024
             writer.close()
 
     run(play(), 30.0)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -6,8 +6,8 @@
 from fennelpoint import interface as api
 from fennelpoint import quotas, selection, state
 from fennelpoint.settings import from_json
+from fennelpoint.shared_counter import LIFE, base_of, name_of
 from fennelpoint.standins import SETTINGS
-from fennelpoint.tally import LIFE, base_of, name_of
 
 INGRESSES = 200
 FAST, SLOW = 0.002, 0.045  # s for an answer of a counter whose time-out is 0.05 s
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from fennelpoint.faults import FaultyFile
-from fennelpoint.operator import Announce, BgpPeer, Control, Operator, Routes, ServiceAddress, read_operator
+from fennelpoint.operator_config import Announce, BgpPeer, Control, Operator, Routes, ServiceAddress, read_operator
+from fennelpoint.validation_errors import FaultyFile
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -4,7 +4,7 @@
 from conftest import CAPPED, HARD, READY, SLOTS, SOFT, UNSAFE, World, kinds, make_settings, wide
 
 from fennelpoint import interface as api
-from fennelpoint.upkeep import PUMP_TOKEN as TOKEN_PUMP
+from fennelpoint.bookkeeping import PUMP_TOKEN as TOKEN_PUMP
 
 
 def admitted(world: World, count: int, **ask) -> int:
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelpoint import descriptors
-from fennelpoint.descriptors import KEPT, YOUNG, Leaves, Plan, who_leaves
+from fennelpoint import file_descriptors
+from fennelpoint.file_descriptors import KEPT, YOUNG, Leaves, Plan, who_leaves
 from fennelpoint.standins import Backend, ok, read_message, request, run, until, world
 
 NOW = 100.0
@@ -39,7 +39,7 @@
 def test_a_slow_sender_is_served_among_those_who_asked_once_and_stay(monkeypatch):
     """Seen on a day of crowds: 189 slow requests were closed unheard while 80 connections stood idle."""
     # What is asked is who goes first of those that have not stood for long: a busy machine takes its time.
-    monkeypatch.setattr(descriptors, "KEPT", MINUTE)
+    monkeypatch.setattr(file_descriptors, "KEPT", MINUTE)
 
     async def play() -> None:
         async with world(Backend()) as made:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from fennelpoint.bodies import MOST
-from fennelpoint.descriptors import Plan
+from fennelpoint.body_buffering import MOST
+from fennelpoint.file_descriptors import Plan
 from fennelpoint.lifecycle import Phase
 from fennelpoint.standins import Backend, ask, ok, read_message, request, run, until, world
 
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelpoint import tally
+from fennelpoint import shared_counter
 from fennelpoint.interface import Plan
-from fennelpoint.tally import (
+from fennelpoint.shared_counter import (
     EPOCH,
     EPOCHS,
     LIFE,
@@ -26,7 +26,7 @@
 
 
 def lacks(*values: float) -> float:
-    fix, level = tally.lacks(*values)
+    fix, level = shared_counter.lacks(*values)
     plan, age, total, _ = values
     assert not known(plan, age, total) or level == pytest.approx(level_of(plan, age, total))
     return fix
@@ -94,7 +94,7 @@
 def test_what_came_in_since_a_name_was_put_right_is_proven():
     total = lacks(PLAN, 30.0, 0.0, PLAN.burst)
     assert unproven(PLAN, 30.0, total) == PLAN.burst
-    slot = tally._figures(PLAN.burst, PLAN.rate)[1]
+    slot = shared_counter._figures(PLAN.burst, PLAN.rate)[1]
     late = unproven(PLAN, 33.0, total)      # put right in the slot that ended at 30.5
     assert late == pytest.approx(PLAN.burst - 33.0 + 30.5) and unproven(PLAN, 30.5 + 4.0, total) == 0.0
     assert unproven(PLAN, slot + 4.0, BASE) == 0.0 < unproven(PLAN, slot + 3.0, BASE)
@@ -105,7 +105,7 @@
     """A counter that holds seven digits: the base must leave room for units."""
     plan = Plan("any", 1.0, rate=rate, burst=3.0 * rate, over_cost=1.0)
     total = lacks(plan, EPOCH - 0.01, 0.0, plan.burst)
-    assert total < 1e6 and 0.5 <= tally._figures(plan.burst, plan.rate)[1] <= EPOCH / 4
+    assert total < 1e6 and 0.5 <= shared_counter._figures(plan.burst, plan.rate)[1] <= EPOCH / 4
     seven = float(f"{total + 1.0:.7g}")
     assert level_of(plan, EPOCH - 0.01, seven) == pytest.approx(plan.burst - 1.0, abs=0.06)
 
--- a/tests/xds/proxies.py
+++ b/tests/xds/proxies.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from fennelpoint.net.discovery import parse_address
-from fennelpoint.operator import Control
+from fennelpoint.operator_config import Control
 from fennelpoint.routes.description import Site, load
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.settings import from_json
--- a/tests/xds/test_tls.py
+++ b/tests/xds/test_tls.py
@@ -11,10 +11,10 @@
 
 from fennelpoint.cli import main
 from fennelpoint.demo import EXAMPLE, SETTINGS
-from fennelpoint.faults import FaultyFile
-from fennelpoint.operator import Control
+from fennelpoint.operator_config import Control
 from fennelpoint.settings import from_json
 from fennelpoint.standins import List, member, until
+from fennelpoint.validation_errors import FaultyFile
 from fennelpoint.xds.server import fetch_status, status_lines
 from fennelpoint.xds.streams import EDS
 from fennelpoint.xds.tls import FILES, check
--- a/tests/xds/test_validation.py
+++ b/tests/xds/test_validation.py
@@ -16,7 +16,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.demo import EXAMPLE
-from fennelpoint.operator import Control
+from fennelpoint.operator_config import Control
 from fennelpoint.routes.description import Site, load
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.settings import from_json
