--- a/fennelpoint/cli_fleet.py
+++ b/fennelpoint/cli_fleet.py
@@ -37,7 +37,7 @@
 
 def _keepers(operator_file: str):
     """The keepers as the file names them, or the end of the command."""
-    from fennelpoint.fleet.ask import Fleet
+    from fennelpoint.fleet.queries import Fleet
     from fennelpoint.operator_config import address_of, read_operator
 
     try:
@@ -51,7 +51,7 @@
 
 
 def _run(coroutine: Coroutine) -> object:
-    from fennelpoint.fleet.wire import CallFailed
+    from fennelpoint.fleet.rpc import CallFailed
 
     try:
         return asyncio.run(coroutine)
@@ -78,7 +78,7 @@
          zone_share: float, set_width: int, ring: int) -> None:
     """Run the keeper NAME until SIGTERM."""
     from fennelpoint.fleet import state
-    from fennelpoint.fleet.keeper import run
+    from fennelpoint.fleet.coordinator import run
 
     founding = state.found(record, state.Bounds(licence_s, settle_s, share, zone_share, set_width, ring),
                            after) if record else None
@@ -100,14 +100,15 @@
 def publish(operator_file: str, cells: str | None, plans: str | None, routes: str | None, kind: str | None,
             who: str, why: str, as_json: bool) -> None:
     """Offer a version: all that it holds is given anew, what is left out goes by each ingress's own files."""
-    from fennelpoint.fleet import contents
+    from fennelpoint.fleet import version_contents
 
     files = {}
     try:
-        for name, path in ((contents.CELLS, cells), (contents.PLANS, plans), (contents.ROUTES, routes)):
+        for name, path in ((version_contents.CELLS, cells), (version_contents.PLANS, plans),
+                           (version_contents.ROUTES, routes)):
             if path is not None:
                 files[name] = Path(path).read_text(encoding="utf-8")
-        contents.check(files)
+        version_contents.check(files)
         if routes is not None:
             from fennelpoint.routes.description import load
 
@@ -156,14 +157,14 @@
 
     Exits with 0 where all act on it, 3 where one is behind, 4 where one is unknown, 5 where one is out.
     """
-    from fennelpoint.fleet import ask
+    from fennelpoint.fleet import queries
 
     view = _run(_keepers(operator_file).view())
     if as_json:
-        click.echo(json.dumps(ask.status_value(view), indent=2))
+        click.echo(json.dumps(queries.status_value(view), indent=2))
     else:
-        click.echo("\n".join(ask.status_lines(view)))
-    sys.exit(CODES[ask.worst(view)])
+        click.echo("\n".join(queries.status_lines(view)))
+    sys.exit(CODES[queries.worst(view)])
 
 
 def _clock(at: float) -> str:
@@ -197,7 +198,7 @@
 
     Exits with 0, or with 4 where something that was asked for is unknown.
     """
-    from fennelpoint.fleet import ask, audit
+    from fennelpoint.fleet import audit, queries
 
     if agency is not None and when is None:
         raise click.UsageError("--agency goes with --at")
@@ -222,13 +223,13 @@
             click.echo(json.dumps([{"ingress": a.ingress, "versions": a.versions, "unknown": a.unknown,
                                     "sure": a.sure} for a in answers], indent=2))
         else:
-            click.echo("\n".join(ask.answer_lines(answers)) or "nothing is on record")
+            click.echo("\n".join(queries.answer_lines(answers)) or "nothing is on record")
         sys.exit(0 if answers and not any(a.unknown for a in answers) else CODES["unknown"])
     chosen = audit.of_version(spans, version) if version is not None else audit.newest(spans)
     if as_json:
         click.echo(json.dumps([span.value() for span in chosen], indent=2))
     else:
-        click.echo("\n".join(ask.span_lines(chosen, _clock)) or "nothing is on record")
+        click.echo("\n".join(queries.span_lines(chosen, _clock)) or "nothing is on record")
     sys.exit(0 if chosen else CODES["unknown"])
 
 
@@ -238,8 +239,8 @@
 @JSON
 def explain(name: str, operator_file: str, as_json: bool) -> None:
     """Why an ingress is behind or out, and what will happen when."""
-    from fennelpoint.fleet import ask
-    from fennelpoint.fleet.wire import CallFailed, call_once
+    from fennelpoint.fleet import queries
+    from fennelpoint.fleet.rpc import CallFailed, call_once
     from fennelpoint.operator_config import address_of
 
     async def look() -> tuple:
@@ -253,6 +254,6 @@
         return view, told
 
     view, told = _run(look())
-    lines = ask.explain_lines(view, name, told)
+    lines = queries.explain_lines(view, name, told)
     click.echo(json.dumps({"lines": lines, "own": told}, indent=2) if as_json else "\n".join(lines))
     sys.exit(0 if told is not None and told["open"] else CODES["unknown"] if told is None else CODES["out"])
--- a/fennelpoint/components.py
+++ b/fennelpoint/components.py
@@ -70,7 +70,7 @@
     """A licence for the fleet's version, where the operator file has a fleet section."""
     if ingress.config.operator is None or (section := ingress.config.operator.fleet) is None:
         return None
-    from fennelpoint.fleet.part import FleetPart
+    from fennelpoint.fleet.component import FleetPart
 
     return FleetPart(ingress, section)
 
--- a/fennelpoint/fleet/part.py
+++ b/fennelpoint/fleet/component.py
@@ -1,4 +1,4 @@
-"""The fleet's part of a running ingress: asks keepers and peers, carries out what `licence.py` says.
+"""The fleet's part of a running ingress: asks keepers and peers, carries out what `version_lease.py` says.
 
 Loaded only where the operator file has a `fleet` section.  Nothing is decided here.  The gate that the host asks
 before each send is a look at one clock.
@@ -23,10 +23,10 @@
 
 from fennelpoint import interface as api
 from fennelpoint.component import Carrier, Part
-from fennelpoint.fleet import audit, contents, figures, logs, state
-from fennelpoint.fleet.licence import Act, Action, Admit, Fetch, Licence, PeerWord, Shut, Told
-from fennelpoint.fleet.ring import Ring
-from fennelpoint.fleet.wire import CallFailed, Line, Service
+from fennelpoint.fleet import audit, logs, plan_parameters, state, version_contents
+from fennelpoint.fleet.disk_ring_buffer import Ring
+from fennelpoint.fleet.rpc import CallFailed, Line, Service
+from fennelpoint.fleet.version_lease import Act, Action, Admit, Fetch, Licence, PeerWord, Shut, Told
 from fennelpoint.lifecycle import Event
 from fennelpoint.operator_config import FleetSection, address_of
 from fennelpoint.validation_errors import Fault, FaultyFile
@@ -52,7 +52,7 @@
 class Ready:
     """A content that was checked and can be gone over to at once."""
 
-    content: contents.Content
+    content: version_contents.Content
     data: bytes
     plans: list[api.Plan]
     table: RouteTable | None = None
@@ -72,8 +72,8 @@
         self.own_plans, self.own_table = list(settings.plans), None
         self.plans, self.stamp, self.mixed = self.own_plans, 0, False
         self.calm_at = 0.0      # when the counter's word counts again after other figures came
-        figures.attach(ingress.host.controller)
-        self.ready: dict[str, Ready] = {"": Ready(contents.EMPTY, b"", self.own_plans)}
+        plan_parameters.attach(ingress.host.controller)
+        self.ready: dict[str, Ready] = {"": Ready(version_contents.EMPTY, b"", self.own_plans)}
         self.acting: Ready = self.ready[""]
         self.keepers = {name: Line(*address) for name, address in map(address_of, section.keepers)}
         self.suspect: dict[str, float] = {}
@@ -357,18 +357,19 @@
             return fault
         table = None
         try:
-            content = contents.unpack(data, digest)
+            content = version_contents.unpack(data, digest)
             if content.routes:
                 table = await self._read_routes(content)
         except FaultyFile as error:
             return str(error.faults[0])
         return self._take_data(digest, data, table)
 
-    async def _read_routes(self, content: contents.Content) -> RouteTable:
+    async def _read_routes(self, content: version_contents.Content) -> RouteTable:
         """The description, read by a process of its own; raises FaultyFile."""
         routes = self.ingress.parts.get("routes")
         if routes is None:
-            raise FaultyFile([Fault(contents.ROUTES, 0, "", "routes are off here: the operator file has none")])
+            raise FaultyFile([
+                Fault(version_contents.ROUTES, 0, "", "routes are off here: the operator file has none")])
         from fennelpoint.routes import worker
         from fennelpoint.routes.table import RouteTable
 
@@ -380,9 +381,10 @@
                 *worker.command(str(path), section.load_memory_mb, section.load_timeout_s), stdin=pipe,
                 stdout=pipe, stderr=pipe, start_new_session=True)
             output, errors = await process.communicate(pickle.dumps(self.ingress.config.settings))
-            end = worker.outcome(contents.ROUTES, process.returncode, output, errors)
+            end = worker.outcome(version_contents.ROUTES, process.returncode, output, errors)
         except OSError as error:
-            raise FaultyFile([Fault(contents.ROUTES, 0, "", f"it can't be read here: {error.strerror}")]) from None
+            raise FaultyFile([
+                Fault(version_contents.ROUTES, 0, "", f"it can't be read here: {error.strerror}")]) from None
         finally:
             path.unlink(missing_ok=True)
         if end.faults:
@@ -398,12 +400,13 @@
         if data is None:
             return "it is not on disk"
         try:
-            content = contents.unpack(data, digest)
+            content = version_contents.unpack(data, digest)
             if content.cells is not None and self.cells is None:
-                raise FaultyFile([Fault(contents.CELLS, 0, "", "cells are off here: the operator file has none")])
+                raise FaultyFile([
+                    Fault(version_contents.CELLS, 0, "", "cells are off here: the operator file has none")])
             if content.routes and table is None:
                 return ""   # from disk: read by the usual way once it is wanted
-            plans = contents.figures(self.own_plans, content)
+            plans = version_contents.figures(self.own_plans, content)
         except FaultyFile as error:
             return str(error.faults[0])
         self.ready[digest] = Ready(content, data, plans, table)
@@ -450,7 +453,7 @@
             routes.ruled = new.table is not None
         # While the version before may still be acted on, the smaller of both figures holds.
         old = self.ready.get(self.licence.fleet.version.digest) if act.mixed else new
-        self._go_by(contents.least(old.plans, new.plans) if old is not None else new.plans, act.mixed)
+        self._go_by(version_contents.least(old.plans, new.plans) if old is not None else new.plans, act.mixed)
         self.acting = new
         for digest in [d for d in self.ready if d and d not in self.licence.ready]:
             del self.ready[digest]
--- a/fennelpoint/fleet/agree.py
+++ b/fennelpoint/fleet/consensus.py
@@ -35,8 +35,8 @@
     majority,
     same,
 )
+from fennelpoint.fleet.rpc import CallFailed, Line
 from fennelpoint.fleet.store import Store
-from fennelpoint.fleet.wire import CallFailed, Line
 from fennelpoint.rate_limited_log import log
 
 WAIT = 0.5          # s for a keeper to answer a message
--- a/fennelpoint/fleet/keeper.py
+++ b/fennelpoint/fleet/coordinator.py
@@ -1,6 +1,6 @@
 """One keeper: a process that holds the record, gives licences by it and gathers the audit.
 
-Thin: `register.py` and `agree.py` agree, `conduct.py` decides which step is due, `state.py` what it does.  It
+Thin: `register.py` and `consensus.py` agree, `rollout.py` decides which step is due, `state.py` what it does.  It
 carries no request and no charge: with all keepers gone the ingresses go on as they were.
 """
 
@@ -19,8 +19,8 @@
 
 import structlog
 
-from fennelpoint.fleet import audit, contents, logs, state
-from fennelpoint.fleet.agree import (
+from fennelpoint.fleet import audit, logs, state, version_contents
+from fennelpoint.fleet.consensus import (
     MOST_VALUE,
     EmbeddedRegister,
     Held,
@@ -28,10 +28,10 @@
     decode_message,
     encode_answer,
 )
-from fennelpoint.fleet.conduct import Conductor, Step, Word
 from fennelpoint.fleet.register import Keeper, majority
+from fennelpoint.fleet.rollout import Conductor, Step, Word
+from fennelpoint.fleet.rpc import CallFailed, Line, Service, call_once
 from fennelpoint.fleet.store import Store
-from fennelpoint.fleet.wire import CallFailed, Line, Service, call_once
 from fennelpoint.operator_config import Keeper as Section
 from fennelpoint.operator_config import address_of, read_operator
 from fennelpoint.validation_errors import Fault, FaultyFile
@@ -244,7 +244,7 @@
                     data = base64.b64decode((await line.call("content", 5.0, digest=digest))["data"])
                 except (CallFailed, KeyError, ValueError):
                     continue
-                if contents.digest_of(data) == digest:
+                if version_contents.digest_of(data) == digest:
                     self.store.add_content(digest, data, time.time(), self._digests())
 
     def _digests(self) -> set[str]:
@@ -291,7 +291,7 @@
 
     async def keep_content(self, call: dict) -> dict:
         data = base64.b64decode(call["data"])
-        if contents.digest_of(data) != call["digest"] or len(data) > contents.MOST:
+        if version_contents.digest_of(data) != call["digest"] or len(data) > version_contents.MOST:
             raise ValueError("the content is not what its digest says, or too large")
         self.store.add_content(call["digest"], data, time.time(), self._digests())
         return {}
@@ -351,18 +351,18 @@
         """Check a content, put it where a majority of keepers has it, offer it as the next version."""
         files, change_id = call["files"], str(call["change"])
         try:
-            content = contents.check(files)
+            content = version_contents.check(files)
         except FaultyFile as error:
             raise ValueError(str(error)) from None
-        data = contents.pack(files)
-        if len(data) > contents.MOST:
-            raise ValueError(f"the content is larger than {contents.MOST} bytes")
+        data = version_contents.pack(files)
+        if len(data) > version_contents.MOST:
+            raise ValueError(f"the content is larger than {version_contents.MOST} bytes")
         held = await self.register.read(state.KEY)
         self._take(held, steady())
         if self.base is None:
             raise CallFailed("there is no record yet")
         digest = self.base.fleet.version.digest
-        kind = call.get("kind") or (state.TIGHTENING if digest == state.LOST else contents.kind(
+        kind = call.get("kind") or (state.TIGHTENING if digest == state.LOST else version_contents.kind(
             None, await self._content_of(digest), content))
         if kind not in (state.LOOSENING, state.TIGHTENING):
             raise ValueError(f"{kind!r} is neither {state.LOOSENING} nor {state.TIGHTENING}")
@@ -376,13 +376,13 @@
         return {"number": mine.number if mine is not None else 0, "digest": content.digest, "kind": kind,
                 "revision": made.revision}
 
-    async def _content_of(self, digest: str) -> contents.Content:
+    async def _content_of(self, digest: str) -> version_contents.Content:
         if not digest:
-            return contents.EMPTY
+            return version_contents.EMPTY
         data = self.store.content(digest)
         if data is None:
             raise CallFailed(f"keeper {self.name} has not caught up with the content in force")
-        return contents.unpack(data, digest)
+        return version_contents.unpack(data, digest)
 
     async def _spread(self, digest: str, data: bytes) -> None:
         self.store.add_content(digest, data, time.time(), self._digests())
--- a/fennelpoint/fleet/etcd.py
+++ b/fennelpoint/fleet/etcd.py
@@ -12,16 +12,16 @@
 
 import aetcd
 
-from fennelpoint.fleet.agree import ROUNDS, Held, Unknown
+from fennelpoint.fleet.consensus import ROUNDS, Held, Unknown
 from fennelpoint.fleet.register import Change
-from fennelpoint.fleet.wire import CallFailed
+from fennelpoint.fleet.rpc import CallFailed
 
 PREFIX = b"/larchwing/"
 WAIT = 1            # s for a call; whole ones, as the library has it
 
 
 class EtcdRegister:
-    """`Register` (agree.py) by one etcd endpoint."""
+    """`Register` (consensus.py) by one etcd endpoint."""
 
     def __init__(self, endpoint: str) -> None:
         """`endpoint` is HOST:PORT."""
--- a/fennelpoint/fleet/ask.py
+++ b/fennelpoint/fleet/queries.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from fennelpoint.fleet import audit, state
-from fennelpoint.fleet.wire import CallFailed, Refusal, call_once
+from fennelpoint.fleet.rpc import CallFailed, Refusal, call_once
 
 WAIT = 8.0          # s for a keeper's answer to a person
 AGAIN = 3           # rounds over all keepers, for a change
--- a/fennelpoint/standins/broken.py
+++ b/fennelpoint/standins/broken.py
@@ -11,28 +11,28 @@
 
 def gate() -> None:
     """Nothing is asked before a send."""
-    from fennelpoint.fleet.part import FleetPart
+    from fennelpoint.fleet.component import FleetPart
 
     FleetPart.may_send = lambda self: True
 
 
 def licence() -> None:
     """A licence never ends."""
-    from fennelpoint.fleet.licence import Licence
+    from fennelpoint.fleet.version_lease import Licence
 
     Licence.valid = lambda self, now: True
 
 
 def eager() -> None:
     """A version is in force as soon as one has gone over to it."""
-    from fennelpoint.fleet import conduct
+    from fennelpoint.fleet import rollout
 
-    conduct.overreach, conduct.DRIFT = lambda fleet, out: "" if len(out) < len(fleet.members) else "all", -0.5
+    rollout.overreach, rollout.DRIFT = lambda fleet, out: "" if len(out) < len(fleet.members) else "all", -0.5
 
 
 def backward() -> None:
     """Whatever a keeper says is gone by, older or not."""
-    from fennelpoint.fleet.licence import Act, Licence
+    from fennelpoint.fleet.version_lease import Act, Licence
 
     def act(self, number, digest, mixed):
         if (number, mixed) == (self.acting, self.mixed):
@@ -47,14 +47,14 @@
 
 def figures() -> None:
     """Other figures of plans are not gone by."""
-    from fennelpoint.fleet.part import FleetPart
+    from fennelpoint.fleet.component import FleetPart
 
     FleetPart._go_by = lambda self, plans, mixed: None
 
 
 def stale() -> None:
     """A keeper's read is what it has at hand."""
-    from fennelpoint.fleet.agree import EmbeddedRegister
+    from fennelpoint.fleet.consensus import EmbeddedRegister
 
     async def read(self, key):
         return self.glance(key)
--- a/fennelpoint/standins/fleet_demo.py
+++ b/fennelpoint/standins/fleet_demo.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from fennelpoint.fleet import audit
-from fennelpoint.fleet.ask import status_lines
+from fennelpoint.fleet.queries import status_lines
 from fennelpoint.standins.observer import faults
 from fennelpoint.standins.rig import Rig, Shape
 
--- a/fennelpoint/standins/fleet_world.py
+++ b/fennelpoint/standins/fleet_world.py
@@ -13,8 +13,8 @@
 from random import Random
 
 from fennelpoint.fleet import state
-from fennelpoint.fleet.conduct import Conductor, Word
-from fennelpoint.fleet.licence import Act, Admit, Fetch, Licence, PeerWord, Shut
+from fennelpoint.fleet.rollout import Conductor, Word
+from fennelpoint.fleet.version_lease import Act, Admit, Fetch, Licence, PeerWord, Shut
 
 RATE = 0.008        # how far a clock's rate may be off, each way
 LOOK, GOSSIP = 0.1, 0.5     # s between a keeper's reads; between two words of the others
--- a/fennelpoint/standins/plans.py
+++ b/fennelpoint/standins/plans.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from fennelpoint.fleet.wire import CallFailed
+from fennelpoint.fleet.rpc import CallFailed
 from fennelpoint.standins.links import BACK, THERE, Link, Trouble
 from fennelpoint.standins.rig import Rig, Shape
 
--- a/fennelpoint/standins/rig.py
+++ b/fennelpoint/standins/rig.py
@@ -20,8 +20,8 @@
 from pathlib import Path
 from random import Random
 
-from fennelpoint.fleet.ask import Fleet, View
-from fennelpoint.fleet.wire import CallFailed
+from fennelpoint.fleet.queries import Fleet, View
+from fennelpoint.fleet.rpc import CallFailed
 from fennelpoint.standins.links import BACK, THERE, Link, Trouble
 from fennelpoint.standins.observer import KINDS, Arrival, Ask, Observer
 from fennelpoint.standins.process import Command, IngressProcess, free_port
@@ -436,7 +436,7 @@
             if any(n >= number for _, n in self.seen.forced):
                 return time.monotonic() - begun
             await asyncio.sleep(0.02)
-        from fennelpoint.fleet.ask import status_lines
+        from fennelpoint.fleet.queries import status_lines
 
         raise TimeoutError("\n".join(status_lines(await self.view())))
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 from fennelpoint import handover
 from fennelpoint import interface as api
 from fennelpoint.cells.confined import CelledController
-from fennelpoint.fleet import figures
+from fennelpoint.fleet import plan_parameters
 from fennelpoint.invariants import violations
 
 # The same verdict every time: examples are drawn from the test's own text, and none are kept.
@@ -69,7 +69,7 @@
     def __post_init__(self) -> None:
         self.control = CelledController(self.settings, seed=7, now=self.now)
         handover.attach(self.control)
-        figures.attach(self.control)
+        plan_parameters.attach(self.control)
         self.take(self.control.start(self.now))
 
     def take(self, actions: list) -> list:
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -13,7 +13,7 @@
 
 from fennelpoint.fleet import audit, store
 from fennelpoint.fleet.audit import OUT, Book, FleetTime, Span, at_time, newest
-from fennelpoint.fleet.ring import Ring
+from fennelpoint.fleet.disk_ring_buffer import Ring
 from fennelpoint.standins.observer import faults
 from fennelpoint.standins.rig import Rig, Shape
 from fennelpoint.standins.world import run
@@ -168,7 +168,7 @@
 
 def test_a_ring_outlives_a_kill_is_bounded_and_tells_what_is_torn(tmp_path):
     path = tmp_path / "n0.audit"
-    code = ("import os, signal, sys\nfrom pathlib import Path\nfrom fennelpoint.fleet.ring import Ring\n"
+    code = ("import os, signal, sys\nfrom pathlib import Path\nfrom fennelpoint.fleet.disk_ring_buffer import Ring\n"
             "ring = Ring(Path(sys.argv[1]), 2000)\n"
             "for i in range(500): ring.add(b'line %d' % i)\n"
             "os.kill(os.getpid(), signal.SIGKILL)\n")
--- a/tests/fleet/test_figures.py
+++ b/tests/fleet/test_figures.py
@@ -8,7 +8,7 @@
 from conftest import CAPPED, HARD, World, make_settings, wide
 
 from fennelpoint import interface as api
-from fennelpoint.fleet import contents
+from fennelpoint.fleet import version_contents
 from fennelpoint.fleet.state import LOOSENING, TIGHTENING
 from fennelpoint.standins.observer import faults, passed
 from fennelpoint.standins.rig import Rig, Shape, content_of, figures
@@ -87,7 +87,7 @@
 ])
 def test_faults_of_a_content_are_named_with_file_line_and_place(files, text):
     with pytest.raises(FaultyFile) as caught:
-        contents.check(files)
+        version_contents.check(files)
     assert text in str(caught.value)
 
 
@@ -96,29 +96,29 @@
     (b'{"schema":2,"files":{}}', "schema"), (b'{"schema":1,"files":{"plans.toml":3}}', "is no set of files")])
 def test_a_content_that_is_not_one_is_not_taken(data, text):
     with pytest.raises(FaultyFile, match=text):
-        contents.unpack(data, contents.digest_of(data))
+        version_contents.unpack(data, version_contents.digest_of(data))
     with pytest.raises(FaultyFile, match="not what its digest says"):
-        contents.unpack(data + b" ", contents.digest_of(data))
+        version_contents.unpack(data + b" ", version_contents.digest_of(data))
 
 
 def test_what_a_change_takes_away_makes_it_a_tightening():
     settings = make_settings().plans
-    old = contents.check(GOOD)
+    old = version_contents.check(GOOD)
     for rate, burst, kind in ((4, 8, LOOSENING), (5, 8, LOOSENING), (3, 8, TIGHTENING), (9, 7, TIGHTENING),
                               (0, 8, LOOSENING)):
         text = f'[[plans]]\nname = "hard"\nquota_rate = {rate}\nstore_size = {burst}\n'
-        new = contents.check({"plans.toml": text})
-        assert contents.kind(settings, old, new) == kind, (rate, burst)
+        new = version_contents.check({"plans.toml": text})
+        assert version_contents.kind(settings, old, new) == kind, (rate, burst)
         if rate:
-            assert contents.kind(None, old, new) == kind
-    assert contents.kind(settings, old, contents.check({**GOOD, **content_of(1)})) == TIGHTENING
-    assert contents.kind(None, contents.EMPTY, old) == TIGHTENING
-    unknown = contents.check({"plans.toml": '[[plans]]\nname = "none"\nquota_rate = 4\nstore_size = 8\n'})
+            assert version_contents.kind(None, old, new) == kind
+    assert version_contents.kind(settings, old, version_contents.check({**GOOD, **content_of(1)})) == TIGHTENING
+    assert version_contents.kind(None, version_contents.EMPTY, old) == TIGHTENING
+    unknown = version_contents.check({"plans.toml": '[[plans]]\nname = "none"\nquota_rate = 4\nstore_size = 8\n'})
     with pytest.raises(FaultyFile, match="the settings have no such plan"):
-        contents.figures(settings, unknown)
-    one, other = contents.figures(settings, old), contents.figures(settings, contents.check(
+        version_contents.figures(settings, unknown)
+    one, other = version_contents.figures(settings, old), version_contents.figures(settings, version_contents.check(
         {"plans.toml": '[[plans]]\nname = "hard"\nquota_rate = 2\nstore_size = 20\n'}))
-    least = contents.least(one, other)
+    least = version_contents.least(one, other)
     assert (least[HARD].rate, least[HARD].burst) == (2.0, 8.0)
 
 
--- a/tests/fleet/test_fleet_world.py
+++ b/tests/fleet/test_fleet_world.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelpoint.fleet import conduct, licence, state
-from fennelpoint.fleet.conduct import Conductor, Step, Word
-from fennelpoint.fleet.licence import Act, Admit, Fetch, Licence, PeerWord, Shut
+from fennelpoint.fleet import rollout, state, version_lease
+from fennelpoint.fleet.rollout import Conductor, Step, Word
+from fennelpoint.fleet.version_lease import Act, Admit, Fetch, Licence, PeerWord, Shut
 from fennelpoint.standins.fleet_world import FleetWorld, Settings
 
 
@@ -31,11 +31,11 @@
 
 
 def enforced_early(patch):
-    patch.setattr(conduct, "DRIFT", -0.5)
+    patch.setattr(rollout, "DRIFT", -0.5)
 
 
 def whoever_is_behind(patch):
-    patch.setattr(conduct, "overreach", lambda fleet, out: "" if len(out) < len(fleet.members) else "all")
+    patch.setattr(rollout, "overreach", lambda fleet, out: "" if len(out) < len(fleet.members) else "all")
 
 
 def peers_answers_last_longer(patch):
@@ -45,7 +45,7 @@
 
 def static_by_a_smaller_roster(patch):
     """As it was: who had not heard that the roster is levelled went by the fewest members there had ever been."""
-    patch.setattr(licence, "replace", lambda fleet, **changes: fleet)
+    patch.setattr(version_lease, "replace", lambda fleet, **changes: fleet)
 
 
 def licences_for_any_version(patch):
--- a/tests/fleet/test_keeper.py
+++ b/tests/fleet/test_keeper.py
@@ -11,8 +11,8 @@
 
 from fennelpoint.fleet import state
 from fennelpoint.fleet.register import Cell, Keeper
+from fennelpoint.fleet.rpc import CallFailed, Line, Refusal, Service, call_once
 from fennelpoint.fleet.store import Store
-from fennelpoint.fleet.wire import CallFailed, Line, Refusal, Service, call_once
 from fennelpoint.operator_config import FaultyFile, read_operator
 from fennelpoint.standins.observer import faults
 from fennelpoint.standins.rig import Rig, Shape, content_of
--- a/tests/fleet/test_keepers_lost.py
+++ b/tests/fleet/test_keepers_lost.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from fennelpoint.fleet.ask import rank
+from fennelpoint.fleet.queries import rank
 from fennelpoint.standins.links import BACK, THERE
 from fennelpoint.standins.observer import faults, served
 from fennelpoint.standins.rig import Rig, Shape
--- a/tests/fleet/test_observer.py
+++ b/tests/fleet/test_observer.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fennelpoint.fleet.wire import CallFailed
+from fennelpoint.fleet.rpc import CallFailed
 from fennelpoint.standins.links import BACK, THERE, DatagramLink, Link, Trouble
 from fennelpoint.standins.observer import CHECKS, Arrival, Ask, Observer, faults, passed
 from fennelpoint.standins.plans import FAULTS, draw_plan
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fennelpoint.fleet.wire import CallFailed
+from fennelpoint.fleet.rpc import CallFailed
 from fennelpoint.standins.observer import CHECKS, faults, served
 from fennelpoint.standins.plans import play, stop_and_wake
 from fennelpoint.standins.rig import Rig, Shape
--- a/tests/fleet/test_register.py
+++ b/tests/fleet/test_register.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelpoint.fleet.agree import decode_answer, decode_message, encode_answer, encode_message
+from fennelpoint.fleet.consensus import decode_answer, decode_message, encode_answer, encode_message
 from fennelpoint.fleet.register import (
     Accept,
     Cell,
--- a/tests/fleet/test_registers.py
+++ b/tests/fleet/test_registers.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from fennelpoint.fleet.agree import EmbeddedRegister, Held, Unknown, decode_message, encode_answer
+from fennelpoint.fleet.consensus import EmbeddedRegister, Held, Unknown, decode_message, encode_answer
 from fennelpoint.fleet.etcd import EtcdRegister
 from fennelpoint.fleet.register import Keeper
+from fennelpoint.fleet.rpc import CallFailed, Service, call_once
 from fennelpoint.fleet.store import Store
-from fennelpoint.fleet.wire import CallFailed, Service, call_once
 from fennelpoint.standins.etcd import Etcd
 from fennelpoint.standins.histories import Op, faults
 from fennelpoint.standins.process import free_port
--- a/tests/fleet/test_routes_version.py
+++ b/tests/fleet/test_routes_version.py
@@ -5,7 +5,7 @@
 
 from describing import described_routes
 
-from fennelpoint.fleet.ask import Fleet
+from fennelpoint.fleet.queries import Fleet
 from fennelpoint.standins import SETTINGS, Backend, Count, List, member, read_message
 from fennelpoint.standins.process import Command, IngressProcess, free_port
 from fennelpoint.standins.world import run
