--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -16,8 +16,8 @@
 from fennelpoint.settings import from_json
 from fennelpoint.standins import SETTINGS
 from fennelpoint.standins.proxies import Tokens
-from fennelpoint.xds.desk import Verdict
 from fennelpoint.xds.leases import Assign, Bank, Spec
+from fennelpoint.xds.quota_checker import Verdict
 
 REPORT, DELIVERY, RATE, SECONDS, STEP = 0.5, 0.25, 20.0, 60.0, 0.05
 
--- a/fennelpoint/__main__.py
+++ b/fennelpoint/__main__.py
@@ -157,7 +157,7 @@
             config.counter is not None and settings.has_counter) else None
         decider = None
         if config.cells is not None:
-            from fennelpoint.cells.confined import CelledController as decider
+            from fennelpoint.cells.cell_controller import CelledController as decider
         self.host = Host(loop, settings, config.seed, self.backends, self.counter, self.budget, decider)
         self.discovery = Discovery(loop, config.discovery, settings, self.follow)
         self.listed = False     # there is a list to go by
--- a/fennelpoint/cells/service.py
+++ b/fennelpoint/cells/service.py
@@ -9,7 +9,7 @@
 from fennelpoint.cells.assign import Assignment, Node
 from fennelpoint.cells.moves import Moves
 from fennelpoint.cells.plan import Plan, check_change, read_plan
-from fennelpoint.cells.poison import Poison
+from fennelpoint.cells.quarantine import Poison
 from fennelpoint.component import Part
 from fennelpoint.rate_limited_log import log
 from fennelpoint.validation_errors import FaultyFile
--- a/fennelpoint/cli.py
+++ b/fennelpoint/cli.py
@@ -178,7 +178,7 @@
     LOADS is JSON: units a second by agency.  Nodes count alike.
     """
     from fennelpoint.cells import Node
-    from fennelpoint.cells.evenness import fullness, propose
+    from fennelpoint.cells.rebalancing import fullness, propose
 
     made = _assignment(file)
     try:
@@ -207,7 +207,7 @@
 
     The ingresses go by it once they get SIGHUP.
     """
-    from fennelpoint.cells.edit import move
+    from fennelpoint.cells.plan_edit import move
 
     try:
         version, before = move(file, _agency(agency), cell)
--- a/fennelpoint/net/route_matching.py
+++ b/fennelpoint/net/route_matching.py
@@ -15,7 +15,7 @@
 from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
 from fennelpoint.operator_config import Routes, read_operator
 from fennelpoint.rate_limited_log import log
-from fennelpoint.routes.follower import Follower
+from fennelpoint.routes.description_watcher import Follower
 from fennelpoint.routes.paths import PathError, split_target
 from fennelpoint.routes.table import RouteTable, ValueFault
 from fennelpoint.validation_errors import FaultyFile
--- a/fennelpoint/routes/description.py
+++ b/fennelpoint/routes/description.py
@@ -21,9 +21,9 @@
 
 from fennelpoint.interface import Effect, Settings
 from fennelpoint.routes.extension import NAME, SCHEMA, Reader, Said, short
+from fennelpoint.routes.file_fingerprint import Stamp, stamp
 from fennelpoint.routes.paths import PathError, Segment, Template, overlap, parse_template
 from fennelpoint.routes.refs import At, Library, RefError
-from fennelpoint.routes.stamps import Stamp, stamp
 from fennelpoint.routes.table import Parameter, Route, Units
 from fennelpoint.validation_errors import MOST_FAULTS, Fault, FaultyFile
 
--- a/fennelpoint/routes/follower.py
+++ b/fennelpoint/routes/description_watcher.py
@@ -10,8 +10,8 @@
 from fennelpoint.operator_config import Routes
 from fennelpoint.rate_limited_log import log
 from fennelpoint.routes import worker
-from fennelpoint.routes.changes import Action, Changes, GiveUp, Load, Report, Take
-from fennelpoint.routes.stamps import Stamp, stamp
+from fennelpoint.routes.file_fingerprint import Stamp, stamp
+from fennelpoint.routes.reloading import Action, Changes, GiveUp, Load, Report, Take
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.validation_errors import Fault
 
--- a/fennelpoint/routes/refs.py
+++ b/fennelpoint/routes/refs.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from urllib.parse import unquote
 
+from fennelpoint.routes.file_fingerprint import Stamp, stamp
 from fennelpoint.routes.source import Document, read
-from fennelpoint.routes.stamps import Stamp, stamp
 from fennelpoint.validation_errors import Fault, FaultyFile
 
 MOST_FILES, MOST_STEPS = 200, 32    # files of one description; references that lead on to references
--- a/fennelpoint/routes/worker.py
+++ b/fennelpoint/routes/worker.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from fennelpoint.interface import Settings
-from fennelpoint.routes.stamps import Stamp
+from fennelpoint.routes.file_fingerprint import Stamp
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.validation_errors import Fault
 
--- a/fennelpoint/standins/proxies.py
+++ b/fennelpoint/standins/proxies.py
@@ -23,8 +23,8 @@
 from envoy.type.v3 import ratelimit_strategy_pb2
 
 from fennelpoint.standins.servers import read_message
-from fennelpoint.xds.limits import QUOTA_FILTER
 from fennelpoint.xds.protobuf import seconds
+from fennelpoint.xds.rate_limit_filters import QUOTA_FILTER
 from fennelpoint.xds.streams import CDS, EDS, LDS, RDS
 
 MESSAGES = {CDS: cluster_pb2.Cluster, EDS: endpoint_pb2.ClusterLoadAssignment, LDS: listener_pb2.Listener,
--- a/fennelpoint/system/proxy/controller.py
+++ b/fennelpoint/system/proxy/controller.py
@@ -12,7 +12,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.bookkeeping import allowed
-from fennelpoint.cells.confined import CelledController
+from fennelpoint.cells.cell_controller import CelledController
 from fennelpoint.state import Try
 from fennelpoint.system.proxy.events import (
     BackendPlaces,
--- a/fennelpoint/system/proxy/placement.py
+++ b/fennelpoint/system/proxy/placement.py
@@ -7,7 +7,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.bookkeeping import Ground, allowed
-from fennelpoint.cells.confined import Confined
+from fennelpoint.cells.cell_controller import Confined
 from fennelpoint.selection import FIRST_GUESS
 from fennelpoint.state import Backend, Crowd, Try
 from fennelpoint.system.proxy.events import BackendPlaces
--- a/fennelpoint/xds/leases.py
+++ b/fennelpoint/xds/leases.py
@@ -15,7 +15,7 @@
 from math import ceil, inf
 
 from fennelpoint import interface as api
-from fennelpoint.xds.desk import Act, Desk, Verdict
+from fennelpoint.xds.quota_checker import Act, Desk, Verdict
 from fennelpoint.xds.streams import Misuse
 
 KEPT = 0.75             # of burst and ceiling burst: what leases may hold
--- a/fennelpoint/xds/loads.py
+++ b/fennelpoint/xds/load_reports.py
@@ -14,9 +14,9 @@
 from envoy.config.endpoint.v3 import load_report_pb2
 from envoy.service.load_stats.v3 import lrs_pb2, lrs_pb2_grpc
 
-from fennelpoint.xds.budget import Budget
 from fennelpoint.xds.protobuf import seconds
 from fennelpoint.xds.streams import Misuse
+from fennelpoint.xds.token_bucket import Budget
 
 INTERVAL = 5.0          # s between two reports that a proxy is asked for
 MOST_CLUSTERS = 1000    # of one proxy
--- a/fennelpoint/xds/membership.py
+++ b/fennelpoint/xds/membership.py
@@ -15,7 +15,7 @@
 from dataclasses import replace
 
 from fennelpoint import interface as api
-from fennelpoint.xds.labels import Stand
+from fennelpoint.xds.version_labels import Stand
 
 GAP = 4.0           # s between two answers of a watch that goes on; a call holds for 2 s
 MOST_DEAD = 50_000  # ids remembered; the longest dead are forgotten first
--- a/fennelpoint/xds/quotas.py
+++ b/fennelpoint/xds/quotas.py
@@ -21,11 +21,11 @@
 from fennelpoint.net.counter import Counter
 from fennelpoint.operator_config import Control
 from fennelpoint.rate_limited_log import complain, log
-from fennelpoint.xds.budget import Budget
-from fennelpoint.xds.desk import Verdict
 from fennelpoint.xds.leases import Abandon, Assign, Bank, Bucket
 from fennelpoint.xds.protobuf import seconds
+from fennelpoint.xds.quota_checker import Verdict
 from fennelpoint.xds.streams import Misuse
+from fennelpoint.xds.token_bucket import Budget
 
 SWEEP = 1.0             # s between looks at what is over
 DELIVERY = 0.25         # s until an assignment is with its proxy; a stream that takes longer ends
--- a/fennelpoint/xds/resources.py
+++ b/fennelpoint/xds/resources.py
@@ -18,9 +18,9 @@
 from fennelpoint import interface as api
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.slow_start import PROXY_CAUTION, cold_odds, cold_share
-from fennelpoint.xds.limits import Limits
 from fennelpoint.xds.membership import Address
 from fennelpoint.xds.protobuf import packed, seconds
+from fennelpoint.xds.rate_limit_filters import Limits
 from fennelpoint.xds.routing import ROUTES, Weights, part_of
 from fennelpoint.xds.streams import CDS, EDS, LDS, LEDS
 
--- a/fennelpoint/xds/routing.py
+++ b/fennelpoint/xds/routing.py
@@ -14,8 +14,8 @@
 
 from fennelpoint import interface as api
 from fennelpoint.routes.table import Route, RouteTable
-from fennelpoint.xds.limits import Limits
 from fennelpoint.xds.protobuf import inner, packed_bytes, seconds
+from fennelpoint.xds.rate_limit_filters import Limits
 
 ROUTES = "larchwing"            # name of the one route configuration
 KIND = "larchwing"              # of route metadata: what the class says, in words
--- a/fennelpoint/xds/server.py
+++ b/fennelpoint/xds/server.py
@@ -28,15 +28,15 @@
 from fennelpoint.operator_config import Control
 from fennelpoint.rate_limited_log import complain, log
 from fennelpoint.routes.table import RouteTable
-from fennelpoint.xds.budget import Budget
-from fennelpoint.xds.limits import Limits
-from fennelpoint.xds.loads import Loads, LoadService
+from fennelpoint.xds.load_reports import Loads, LoadService
 from fennelpoint.xds.membership import Membership
 from fennelpoint.xds.quotas import LimitService, Quotas, QuotaService
+from fennelpoint.xds.rate_limit_filters import Limits
 from fennelpoint.xds.resources import Bodies, collections, endpoint_bodies, part_bodies, route_bodies
 from fennelpoint.xds.routing import ROUTES, Routing, Weights
 from fennelpoint.xds.streams import CDS, EDS, LDS, LEDS, RDS, Misuse, Response, Snapshot, Stream
 from fennelpoint.xds.tls import credentials
+from fennelpoint.xds.token_bucket import Budget
 
 SERVICE = "envoy.service.discovery.v3.AggregatedDiscoveryService"
 VIEWS = ("envoy", "grpc")
--- a/fennelpoint/xds/service.py
+++ b/fennelpoint/xds/service.py
@@ -11,7 +11,7 @@
 from fennelpoint.__main__ import Config, ConfigError, read_config
 from fennelpoint.operator_config import Control, read_operator
 from fennelpoint.rate_limited_log import log
-from fennelpoint.routes.follower import Follower
+from fennelpoint.routes.description_watcher import Follower
 from fennelpoint.routes.worker import read_now
 from fennelpoint.validation_errors import Fault, FaultyFile
 from fennelpoint.xds.server import ControlServer
--- a/fennelpoint/xds/streams.py
+++ b/fennelpoint/xds/streams.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from fennelpoint.xds.labels import Label, Stand, digest, read_label
+from fennelpoint.xds.version_labels import Label, Stand, digest, read_label
 
 _BASE = "type.googleapis.com/envoy.config."
 CDS, EDS = _BASE + "cluster.v3.Cluster", _BASE + "endpoint.v3.ClusterLoadAssignment"
--- a/tests/cells/test_drawn_moves.py
+++ b/tests/cells/test_drawn_moves.py
@@ -15,7 +15,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.cells.assign import Assignment, Node
-from fennelpoint.cells.confined import CelledController
+from fennelpoint.cells.cell_controller import CelledController
 from fennelpoint.cells.moves import Moves
 from fennelpoint.cells.plan import CellSpec, Plan
 from fennelpoint.standins.ceilings import Exact
--- a/tests/cells/test_evenness.py
+++ b/tests/cells/test_evenness.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelpoint.cells.evenness import LEAST_GAIN, fullness, propose
+from fennelpoint.cells.rebalancing import LEAST_GAIN, fullness, propose
 from fennelpoint.cli import main
 
 ROOM = {"east": 10.0, "west": 10.0, "north": 20.0}
--- a/tests/cells/test_poison.py
+++ b/tests/cells/test_poison.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelpoint.cells.poison import ACCUSED, DEATHS, FIRST, LONGEST, MOST, Poison
+from fennelpoint.cells.quarantine import ACCUSED, DEATHS, FIRST, LONGEST, MOST, Poison
 
 NODES = [f"n{i}" for i in range(10)]
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 
 from fennelpoint import handover
 from fennelpoint import interface as api
-from fennelpoint.cells.confined import CelledController
+from fennelpoint.cells.cell_controller import CelledController
 from fennelpoint.fleet import plan_parameters
 from fennelpoint.invariants import violations
 
--- a/tests/routes/test_changes.py
+++ b/tests/routes/test_changes.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from fennelpoint.routes.changes import Changes, GiveUp, Load, Report, Take
+from fennelpoint.routes.reloading import Changes, GiveUp, Load, Report, Take
 from fennelpoint.validation_errors import Fault
 
 FAULT = (Fault("d", 1, "", "wrong"),)
--- a/tests/xds/test_collections.py
+++ b/tests/xds/test_collections.py
@@ -16,9 +16,9 @@
 from fennelpoint.demo import EXAMPLE, SETTINGS
 from fennelpoint.settings import from_json
 from fennelpoint.standins import List, member, until
-from fennelpoint.xds.labels import Stand
 from fennelpoint.xds.resources import collections
 from fennelpoint.xds.streams import EDS, LEDS, Misuse, Snapshot, Stream
+from fennelpoint.xds.version_labels import Stand
 
 MADE = from_json(SETTINGS)
 
--- a/tests/xds/test_leases.py
+++ b/tests/xds/test_leases.py
@@ -13,8 +13,8 @@
 
 from fennelpoint import interface as api
 from fennelpoint.standins.proxies import Tokens as Bucketful
-from fennelpoint.xds.desk import Desk, Verdict
 from fennelpoint.xds.leases import Abandon, Assign, Bank, Promise, Reader, desk_settings, kept, water_level
+from fennelpoint.xds.quota_checker import Desk, Verdict
 from fennelpoint.xds.streams import Misuse
 
 REPORT, DELIVERY = 0.5, 0.25
--- a/tests/xds/test_streams.py
+++ b/tests/xds/test_streams.py
@@ -6,10 +6,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from fennelpoint import interface as api
-from fennelpoint.xds.budget import Budget
-from fennelpoint.xds.labels import Label, Stand, read_label
 from fennelpoint.xds.membership import Membership
 from fennelpoint.xds.streams import CDS, EDS, LDS, LEDS, RDS, Misuse, Snapshot, Stream
+from fennelpoint.xds.token_bucket import Budget
+from fennelpoint.xds.version_labels import Label, Stand, read_label
 
 
 def snapshot(before: Snapshot | None = None, revision: int = 1, **kinds: dict[str, bytes]) -> Snapshot:
--- a/tests/xds/test_validation.py
+++ b/tests/xds/test_validation.py
@@ -21,7 +21,7 @@
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.settings import from_json
 from fennelpoint.standins import SETTINGS
-from fennelpoint.xds.limits import LIMIT_FILTER, QUOTA_FILTER, Limits
+from fennelpoint.xds.rate_limit_filters import LIMIT_FILTER, QUOTA_FILTER, Limits
 from fennelpoint.xds.resources import endpoint_bodies, route_bodies
 from fennelpoint.xds.routing import Routing
 from fennelpoint.xds.streams import LDS, RDS
