--- a/benchmarks/ceilings.py
+++ b/benchmarks/ceilings.py
@@ -1,7 +1,7 @@
 """The rule on ceilings over drawn days: `python benchmarks/ceilings.py [--days 4000] [--first 0]`.
 
 No sockets, simulated time, a checker that shares nothing with the module
-(`fennelpoint/standins/ceilings.py`).  Prints the days that came nearest, and by what went on in them.
+(`fennelpoint/testing/ceilings.py`).  Prints the days that came nearest, and by what went on in them.
 "Nearness" is the most that was out of a customer's ceiling over what the rule allows (over 1 it is broken),
 "let in" the units sent on over those that were asked for, "calls" to the counter a try.
 """
@@ -15,7 +15,7 @@
 from collections import defaultdict
 from concurrent.futures import ProcessPoolExecutor
 
-from fennelpoint.standins.ceilings import Day
+from fennelpoint.testing.ceilings import Day
 
 Row = tuple[float, float, int, int, int, float, float, tuple[str, ...]]
 
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -1,6 +1,6 @@
 """Whom trouble in one cell harms, with cells and without, side by side: `python benchmarks/cells.py`.
 
-The play is that of `larchwing demo cells` (fennelpoint/standins/cells_demo.py), longer.
+The play is that of `larchwing demo cells` (fennelpoint/testing/cells_demo.py), longer.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import os
 import platform
 
-from fennelpoint.standins.cells_demo import show
+from fennelpoint.testing.cells_demo import show
 
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description=__doc__)
--- a/benchmarks/control_service.py
+++ b/benchmarks/control_service.py
@@ -24,8 +24,8 @@
 from ingress import cpu_seconds
 
 from fennelpoint.demo import EXAMPLE, SETTINGS
-from fennelpoint.standins import List, member
-from fennelpoint.standins.process import Command
+from fennelpoint.testing import List, member
+from fennelpoint.testing.process import Command
 from fennelpoint.xds.server import SERVICE
 from fennelpoint.xds.streams import EDS, LEDS
 
--- a/benchmarks/drawn_core.py
+++ b/benchmarks/drawn_core.py
@@ -20,8 +20,8 @@
 
 from docopt import docopt
 
-from fennelpoint.standins.core_machines import Broken
-from fennelpoint.standins.drawn_core import Deployment, DrawnDay
+from fennelpoint.testing.core_machines import Broken
+from fennelpoint.testing.random_core_scenarios import Deployment, DrawnDay
 
 CORES = {"ra-1": 2, "ra-2": 1, "rb-1": 2, "rb-2": 1, "rc-1": 1, "rc-2": 1, "rd-1": 1}
 FRONTS = {"ra-1": 3, "ra-2": 1, "rb-1": 2, "rb-2": 2, "rc-1": 1, "rc-2": 2, "rd-1": 1}
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,8 +14,8 @@
 import tracemalloc
 
 from fennelpoint.settings import from_json
-from fennelpoint.standins import SETTINGS
-from fennelpoint.standins.fleet import Fleet
+from fennelpoint.testing import SETTINGS
+from fennelpoint.testing.controller_simulation import Fleet
 
 RATE, BURST, EACH, SECONDS = 1.0, 4.0, 12.0, 30.0
 CALM, HEAVY = 0.4, 3.0      # of the quota
--- a/benchmarks/fleet_plans.py
+++ b/benchmarks/fleet_plans.py
@@ -11,9 +11,9 @@
 import asyncio
 from multiprocessing import Pool
 
-from fennelpoint.standins.observer import faults, served
-from fennelpoint.standins.plans import draw_plan, play, stop_and_wake
-from fennelpoint.standins.rig import Rig, Shape
+from fennelpoint.testing.fault_plans import draw_plan, play, stop_and_wake
+from fennelpoint.testing.observer import faults, served
+from fennelpoint.testing.process_cluster import Rig, Shape
 
 SECONDS, FAULTS = 7.0, 6
 
--- a/benchmarks/fleet_record.py
+++ b/benchmarks/fleet_record.py
@@ -22,11 +22,11 @@
 from ingress import QUOTAS, cpu_seconds, fast, load, templates
 
 from fennelpoint.fleet.audit import at_time
-from fennelpoint.standins import SETTINGS, Count, List, member
-from fennelpoint.standins.fleet_world import FleetWorld
-from fennelpoint.standins.fleet_world import Settings as WorldSettings
-from fennelpoint.standins.process import Command, IngressProcess, free_port
-from fennelpoint.standins.rig import Rig, Shape
+from fennelpoint.testing import SETTINGS, Count, List, member
+from fennelpoint.testing.fleet_simulation import FleetWorld
+from fennelpoint.testing.fleet_simulation import Settings as WorldSettings
+from fennelpoint.testing.process import Command, IngressProcess, free_port
+from fennelpoint.testing.process_cluster import Rig, Shape
 
 
 async def cpu(rounds: int, seconds: float) -> None:
--- a/benchmarks/ingress.py
+++ b/benchmarks/ingress.py
@@ -19,8 +19,8 @@
 
 from describing import description, paths
 
-from fennelpoint.standins import SETTINGS, Count, List, member
-from fennelpoint.standins.process import IngressProcess
+from fennelpoint.testing import SETTINGS, Count, List, member
+from fennelpoint.testing.process import IngressProcess
 
 QUOTAS = [{"name": "basic", "pays": 1.0, "quota_rate": 1e6, "store_size": 1e6}]
 CONNECTIONS, TICKS = 16, os.sysconf("SC_CLK_TCK")
@@ -37,7 +37,7 @@
 async def fast(*words: str) -> tuple[asyncio.subprocess.Process, str]:
     """A quick stand-in as a process, and the address that it says."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "fennelpoint.standins.fast", *words, stdin=asyncio.subprocess.PIPE,
+        sys.executable, "-m", "fennelpoint.testing.load_generator", *words, stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE)
     return process, (await process.stdout.readline()).decode().strip()
 
@@ -46,7 +46,7 @@
     spec = {"address": address, "templates": templates, "connections": CONNECTIONS, "seconds": seconds,
             "rate": rate}
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "fennelpoint.standins.fast", "load", json.dumps(spec),
+        sys.executable, "-m", "fennelpoint.testing.load_generator", "load", json.dumps(spec),
         stdout=asyncio.subprocess.PIPE)
     return json.loads((await process.communicate())[0])
 
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -14,8 +14,8 @@
 from fennelpoint import Controller
 from fennelpoint import interface as api
 from fennelpoint.settings import from_json
-from fennelpoint.standins import SETTINGS
-from fennelpoint.standins.proxies import Tokens
+from fennelpoint.testing import SETTINGS
+from fennelpoint.testing.proxies import Tokens
 from fennelpoint.xds.leases import Assign, Bank, Spec
 from fennelpoint.xds.quota_checker import Verdict
 
--- a/benchmarks/retry_budget.py
+++ b/benchmarks/retry_budget.py
@@ -30,10 +30,10 @@
 
 from docopt import docopt
 
-from fennelpoint.standins.retry_histories import drawn
-from fennelpoint.standins.retry_world import RetryWorld
 from fennelpoint.system.proxy.controller import Decider
 from fennelpoint.system.proxy.retry_budget import RetryBudget
+from fennelpoint.testing.retry_histories import drawn
+from fennelpoint.testing.retry_simulation import RetryWorld
 
 PART, MOST_SAVED = 0.8, 40.0  # of the ratio; retries beside the slack, as it was
 SITES = ((9, 41.0, 58.0), (9, 96.0, 58.0), (77, 47.0, 194.0), (77, 184.0, 194.0), (77, 429.0, 194.0))
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -21,7 +21,7 @@
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.routes.worker import read_now
 from fennelpoint.settings import from_json
-from fennelpoint.standins import SETTINGS
+from fennelpoint.testing import SETTINGS
 
 SIZES, ROUNDS, CALLS = (10, 1_000, 10_000), 7, 2_000
 
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -21,8 +21,8 @@
 from describing import paths
 from ingress import QUOTAS, cpu_seconds, fast, load, templates
 
-from fennelpoint.standins import SETTINGS, Count, Fake, List, member, read_message, request
-from fennelpoint.standins.process import IngressProcess
+from fennelpoint.testing import SETTINGS, Count, Fake, List, member, read_message, request
+from fennelpoint.testing.process import IngressProcess
 
 MB = 1 << 20
 SIZE, READERS = 32 * MB, 64
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -25,7 +25,7 @@
 
 from docopt import docopt
 
-from fennelpoint.standins.soak.play import Result, play
+from fennelpoint.testing.soak.runner import Result, play
 
 
 def one(seed: int, groups: int, quiet: bool, keep: Path | None) -> Result | str:
--- a/benchmarks/system_size.py
+++ b/benchmarks/system_size.py
@@ -9,7 +9,7 @@
 import sys
 import time
 
-from fennelpoint.standins.core_world import grown
+from fennelpoint.testing.core_simulation import grown
 
 SECONDS = 4.0
 
--- a/fennelpoint/cli.py
+++ b/fennelpoint/cli.py
@@ -364,7 +364,7 @@
 @SECONDS
 def demo_control(seconds: float) -> None:
     """A control service and two proxies that book by it, while one server drains and another is killed."""
-    from fennelpoint.standins.control_demo import play
+    from fennelpoint.testing.control_demo import play
 
     _play(play(seconds, click.echo))
 
@@ -373,7 +373,7 @@
 @SECONDS
 def demo_announce(seconds: float) -> None:
     """Two ingresses announce one address by BGP; one is stalled under traffic, and comes back."""
-    from fennelpoint.standins.announce_demo import play
+    from fennelpoint.testing.announce_demo import play
 
     _play(play(seconds, click.echo))
 
@@ -383,7 +383,7 @@
               help="Of each of the six rows.")
 def demo_cells(seconds: float) -> None:
     """Trouble in one of three cells, and whom it harms, with cells and without."""
-    from fennelpoint.standins.cells_demo import show
+    from fennelpoint.testing.cells_demo import show
 
     _play(show(seconds, click.echo))
 
@@ -391,7 +391,7 @@
 @demo.command("fleet")
 def demo_fleet() -> None:
     """Six ingresses on agreed versions: a straggler is brought up, another is shut out and comes back."""
-    from fennelpoint.standins.fleet_demo import play
+    from fennelpoint.testing.fleet_demo import play
 
     if _play(play(click.echo)) is False:
         sys.exit(1)
@@ -400,7 +400,7 @@
 @demo.command("system")
 def demo_system() -> None:
     """The whole load balancer: three core machines, four fronts; a drain, kills, and the way back."""
-    from fennelpoint.standins.system_demo import play
+    from fennelpoint.testing.system_demo import play
 
     told = _play(play(click.echo))
     if told is not None and told[1]:
--- a/fennelpoint/demo.py
+++ b/fennelpoint/demo.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from fennelpoint.standins.process import IngressProcess
-from fennelpoint.standins.servers import Backend, Count, List, member, read_message
-from fennelpoint.standins.settings import SETTINGS as SMALL
+from fennelpoint.testing.process import IngressProcess
+from fennelpoint.testing.servers import Backend, Count, List, member, read_message
+from fennelpoint.testing.settings import SETTINGS as SMALL
 
-EXAMPLE = Path(__file__).parent / "standins/example/booking.yaml"
+EXAMPLE = Path(__file__).parent / "testing/example/booking.yaml"
 SETTINGS = {
     **SMALL, "balancers": 1, "bounds": {**SMALL["bounds"], "max_retry_after_s": 2.0},
     "rules": {**SMALL["rules"], "ramp_time_s": 3.0},
--- a/fennelpoint/standins/announce_demo.py
+++ b/fennelpoint/testing/announce_demo.py
@@ -14,10 +14,10 @@
 from ipaddress import ip_network
 
 from fennelpoint.demo import EXAMPLE, SETTINGS
-from fennelpoint.standins.process import Command, IngressProcess, free_port
-from fennelpoint.standins.router import Forwarder, Router
-from fennelpoint.standins.servers import Backend, Count, List, member, read_message
-from fennelpoint.standins.world import until
+from fennelpoint.testing.ingress_harness import until
+from fennelpoint.testing.process import Command, IngressProcess, free_port
+from fennelpoint.testing.router import Forwarder, Router
+from fennelpoint.testing.servers import Backend, Count, List, member, read_message
 
 NETWORK = ip_network("192.0.2.1/32")
 RATE, DEADLINE = 50.0, 0.5      # requests a second; s that an agency waits
--- a/fennelpoint/standins/cells_demo.py
+++ b/fennelpoint/testing/cells_demo.py
@@ -10,10 +10,10 @@
 import asyncio
 from collections.abc import Callable
 
-from fennelpoint.standins.process import IngressProcess
-from fennelpoint.standins.servers import Count, Fake, List, member, ok, read_message
-from fennelpoint.standins.settings import SETTINGS
-from fennelpoint.standins.traffic import request
+from fennelpoint.testing.process import IngressProcess
+from fennelpoint.testing.servers import Count, Fake, List, member, ok, read_message
+from fennelpoint.testing.settings import SETTINGS
+from fennelpoint.testing.traffic import request
 
 AGENCIES = {"east": 0x11, "west": 0x22, "north": 0x33}
 QUOTA, SLOTS = 30.0, 2      # requests a second of each agency; requests that a node works on at a time
--- a/fennelpoint/standins/shifted.py
+++ b/fennelpoint/testing/clock_skew.py
@@ -1,4 +1,4 @@
-"""A program whose wall clock is off: `python -m fennelpoint.standins.shifted SECONDS MODULE [ARGUMENTS]`."""
+"""A program whose wall clock is off: `python -m fennelpoint.testing.clock_skew SECONDS MODULE [ARGUMENTS]`."""
 
 from __future__ import annotations
 
--- a/fennelpoint/standins/control_demo.py
+++ b/fennelpoint/testing/control_demo.py
@@ -15,10 +15,10 @@
 from pathlib import Path
 
 from fennelpoint.demo import EXAMPLE, SETTINGS
-from fennelpoint.standins.process import Command
-from fennelpoint.standins.proxies import Front
-from fennelpoint.standins.servers import Backend, Count, List, member
-from fennelpoint.standins.world import until
+from fennelpoint.testing.ingress_harness import until
+from fennelpoint.testing.process import Command
+from fennelpoint.testing.proxies import Front
+from fennelpoint.testing.servers import Backend, Count, List, member
 
 SERVERS, REPORTS = 4, 0.25
 AGENCIES = ((1, "basic", 8.0), (2, "basic", 60.0))  # customer, plan, requests a second in all
--- a/fennelpoint/standins/core_calls.py
+++ b/fennelpoint/testing/core_calls.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from fennelpoint.standins.core_machines import Backend, Broken, Caller
 from fennelpoint.system.calls import find
 from fennelpoint.system.http_server import Asking
+from fennelpoint.testing.core_machines import Backend, Broken, Caller
 
 if TYPE_CHECKING:
-    from fennelpoint.standins.core_machines import Core, Front
     from fennelpoint.system.http_server import Reply
+    from fennelpoint.testing.core_machines import Core, Front
 
 ANSWER_WITHIN = 1.0  # s of silence after which a backend calls another core machine
 TAKEN_WITHIN = 2.0  # s in which each of a row of orders must be taken
@@ -21,7 +21,7 @@
 
 
 class OutsideCalls:
-    """Calls of a `core_world.World`, which is this and what it names."""
+    """Calls of a `core_simulation.World`, which is this and what it names."""
 
     now: float
     rate: int
--- a/fennelpoint/standins/core_rules.py
+++ b/fennelpoint/testing/core_invariants.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from fennelpoint.standins.core_calls import STEP, TENANTS
-from fennelpoint.standins.core_machines import Broken, Core, Front
 from fennelpoint.system.proxy.placement import SECOND
 from fennelpoint.system.registry.grants import WHOLE
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store import replica as writ
 from fennelpoint.system.store.idempotency import needed
+from fennelpoint.testing.core_calls import STEP, TENANTS
+from fennelpoint.testing.core_machines import Broken, Core, Front
 
 COLD_MOST = 12  # tries a second that a cold backend bears
 COLD_WINDOW = 1.0  # s in which they are counted
@@ -19,7 +19,7 @@
 
 
 class Checked(Protocol):
-    """The world that is checked: a `core_world.World`."""
+    """The world that is checked: a `core_simulation.World`."""
 
     now: float
     cores: dict[str, Core]
--- a/fennelpoint/standins/core_machines.py
+++ b/fennelpoint/testing/core_machines.py
@@ -1,4 +1,4 @@
-"""The machines of a simulated core: what `core_world` plays."""
+"""The machines of a simulated core: what `core_simulation` plays."""
 
 from __future__ import annotations
 
--- a/fennelpoint/standins/core_world.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -16,10 +16,6 @@
 
 from fennelpoint.fleet.register import Keeper
 from fennelpoint.fleet.store import making_room
-from fennelpoint.standins.core_calls import STEP, OutsideCalls
-from fennelpoint.standins.core_machines import Backend, Broken, Core, Front
-from fennelpoint.standins.core_rules import CoreRules
-from fennelpoint.standins.scenario_language import ScenarioLanguage
 from fennelpoint.system.actions import Send, Violation
 from fennelpoint.system.frames import Unpacker, pack
 from fennelpoint.system.http_server import Asking, Reply
@@ -31,6 +27,10 @@
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store import replica as writ
 from fennelpoint.system.store.replica import Store
+from fennelpoint.testing.core_calls import STEP, OutsideCalls
+from fennelpoint.testing.core_invariants import CoreRules
+from fennelpoint.testing.core_machines import Backend, Broken, Core, Front
+from fennelpoint.testing.scenario_language import ScenarioLanguage
 
 SILENT = 1.6        # s until a cut is seen
 BEAT = 1.5
--- a/fennelpoint/standins/broken.py
+++ b/fennelpoint/testing/fault_injection.py
@@ -1,4 +1,4 @@
-"""A program that is broken on purpose: `python -m fennelpoint.standins.broken FAULT MODULE [ARGUMENTS]`.
+"""A program that is broken on purpose: `python -m fennelpoint.testing.fault_injection FAULT MODULE [ARGUMENTS]`.
 
 Checks that are to find something are first shown to find this.
 """
--- a/fennelpoint/standins/plans.py
+++ b/fennelpoint/testing/fault_plans.py
@@ -8,8 +8,8 @@
 from random import Random
 
 from fennelpoint.fleet.rpc import CallFailed
-from fennelpoint.standins.links import BACK, THERE, Link, Trouble
-from fennelpoint.standins.rig import Rig, Shape
+from fennelpoint.testing.links import BACK, THERE, Link, Trouble
+from fennelpoint.testing.process_cluster import Rig, Shape
 
 
 @dataclass(frozen=True, slots=True)
--- a/fennelpoint/standins/fleet_demo.py
+++ b/fennelpoint/testing/fleet_demo.py
@@ -7,8 +7,8 @@
 
 from fennelpoint.fleet import audit
 from fennelpoint.fleet.queries import status_lines
-from fennelpoint.standins.observer import faults
-from fennelpoint.standins.rig import Rig, Shape
+from fennelpoint.testing.observer import faults
+from fennelpoint.testing.process_cluster import Rig, Shape
 
 
 async def play(say: Callable[[str], None]) -> bool:
--- a/fennelpoint/standins/fleet_world.py
+++ b/fennelpoint/testing/fleet_simulation.py
@@ -1,6 +1,6 @@
 """A whole fleet in simulated time: the real deciders of keepers and ingresses, under drawn faults.
 
-One seed makes one run.  The register itself is one value here (`explore.py` and the processes show that the
+One seed makes one run.  The register itself is one value here (`model_checker.py` and the processes show that the
 keepers' one is such); what is late, lost, cut, stopped, killed and forgotten is everything round it.  Each
 machine has a clock of its own, off and at a rate of its own.
 """
--- a/fennelpoint/standins/world.py
+++ b/fennelpoint/testing/ingress_harness.py
@@ -14,8 +14,8 @@
 from fennelpoint.operator_config import Operator
 from fennelpoint.routes.worker import read_now
 from fennelpoint.settings import from_json
-from fennelpoint.standins.servers import Backend, Count, List, member
-from fennelpoint.standins.settings import SETTINGS
+from fennelpoint.testing.servers import Backend, Count, List, member
+from fennelpoint.testing.settings import SETTINGS
 from fennelpoint.validation_errors import FaultyFile
 
 
--- a/fennelpoint/standins/probed.py
+++ b/fennelpoint/testing/instrumented_program.py
@@ -1,4 +1,6 @@
-"""A program of the system with a probe in it: `python -m fennelpoint.standins.probed FILE ROLE --settings SETTINGS`.
+"""A program of the system with a probe in it.
+
+`python -m fennelpoint.testing.instrumented_program FILE ROLE --settings SETTINGS`
 
 Twice a second it puts down in FILE what went over its held connections by kind, and how long its loop was held: the
 processor time between two looks that are to be 5 ms apart, so that a busy machine does not count as a pause.
--- a/fennelpoint/standins/fast.py
+++ b/fennelpoint/testing/load_generator.py
@@ -1,8 +1,8 @@
 """Stand-ins that are quick enough not to be what a benchmark measures: a server and a load generator.
 
-    python -m fennelpoint.standins.fast serve            prints its address, serves until its input ends
-    python -m fennelpoint.standins.fast pass HOST:PORT   the same in front of another: a bare pass-through
-    python -m fennelpoint.standins.fast load SPEC        plays a load, prints what came of it as JSON
+    python -m fennelpoint.testing.load_generator serve            prints its address, serves until its input ends
+    python -m fennelpoint.testing.load_generator pass HOST:PORT   the same in front of another: a bare pass-through
+    python -m fennelpoint.testing.load_generator load SPEC        plays a load, prints what came of it as JSON
 
 The pass-through is what uvloop and httptools take at the least for what an ingress does on the wire: read a
 request whole, send it on over a kept connection, pass the answer back.
--- a/fennelpoint/standins/operator_calls.py
+++ b/fennelpoint/testing/operator_calls.py
@@ -8,14 +8,14 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from fennelpoint.standins.core_machines import Broken, Caller
-from fennelpoint.standins.linearizable import Op
 from fennelpoint.system.calls import find
 from fennelpoint.system.http_server import Asking, Reply
+from fennelpoint.testing.core_machines import Broken, Caller
+from fennelpoint.testing.linearizable import Op
 
 if TYPE_CHECKING:
-    from fennelpoint.standins.core_machines import Core
-    from fennelpoint.standins.operator_plans import Errand, Plan
+    from fennelpoint.testing.core_machines import Core
+    from fennelpoint.testing.operator_plans import Errand, Plan
 
 STEP = 0.04  # s between two looks at what was answered
 SILENCE = 1.0  # s that a caller waits
--- a/fennelpoint/standins/operators.py
+++ b/fennelpoint/testing/operators.py
@@ -13,14 +13,14 @@
 from heapq import heappop
 from random import Random
 
-from fennelpoint.standins.core_machines import Broken, Core
-from fennelpoint.standins.core_world import SILENT, World
-from fennelpoint.standins.linearizable import Op, fault
-from fennelpoint.standins.operator_calls import CHANGES, Flow, OperatorCalls
-from fennelpoint.standins.operator_plans import Plan, Trouble
 from fennelpoint.system.http_server import Asking
 from fennelpoint.system.mesh import ip_of, name
 from fennelpoint.system.settings import Bounds
+from fennelpoint.testing.core_machines import Broken, Core
+from fennelpoint.testing.core_simulation import SILENT, World
+from fennelpoint.testing.linearizable import Op, fault
+from fennelpoint.testing.operator_calls import CHANGES, Flow, OperatorCalls
+from fennelpoint.testing.operator_plans import Plan, Trouble
 
 STEP = 0.04  # s; the deciders' own ticks are 0.02 and 0.05
 LINKED = 0.06  # s until a connection stands, or one to a process that has ended is seen to break
--- a/fennelpoint/standins/process.py
+++ b/fennelpoint/testing/process.py
@@ -60,15 +60,15 @@
         self.arguments = [str(a) for a in arguments]
         self.process: asyncio.subprocess.Process | None = None
         self.off: float | None = None   # s that its wall clock is off
-        self.broken = ""                # by `broken.py`
+        self.broken = ""                # by `fault_injection.py`
 
     async def start(self, seconds: float = 30.0) -> str:
         """The line that it says; raises RuntimeError with its complaint where it says none."""
         pipe = asyncio.subprocess.PIPE
-        program = ["fennelpoint.cli"] if self.off is None else ["fennelpoint.standins.shifted", str(self.off),
+        program = ["fennelpoint.cli"] if self.off is None else ["fennelpoint.testing.clock_skew", str(self.off),
                                                                 "fennelpoint.cli"]
         if self.broken:
-            program = ["fennelpoint.standins.broken", self.broken, "fennelpoint.cli"]
+            program = ["fennelpoint.testing.fault_injection", self.broken, "fennelpoint.cli"]
         with tempfile.TemporaryFile() as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", *program, *self.arguments, stdout=pipe, stderr=log,
--- a/fennelpoint/standins/rig.py
+++ b/fennelpoint/testing/process_cluster.py
@@ -22,11 +22,11 @@
 
 from fennelpoint.fleet.queries import Fleet, View
 from fennelpoint.fleet.rpc import CallFailed
-from fennelpoint.standins.links import BACK, THERE, Link, Trouble
-from fennelpoint.standins.observer import KINDS, Arrival, Ask, Observer
-from fennelpoint.standins.process import Command, IngressProcess, free_port
-from fennelpoint.standins.servers import Count, List, member, ok, read_message
-from fennelpoint.standins.settings import SETTINGS
+from fennelpoint.testing.links import BACK, THERE, Link, Trouble
+from fennelpoint.testing.observer import KINDS, Arrival, Ask, Observer
+from fennelpoint.testing.process import Command, IngressProcess, free_port
+from fennelpoint.testing.servers import Count, List, member, ok, read_message
+from fennelpoint.testing.settings import SETTINGS
 
 ZONES = 3
 RATE, BURST = 400.0, 400.0      # of an agency's quota, where nothing else is asked for
@@ -130,7 +130,7 @@
     ceiling: tuple[float, float, float] | None = None   # rate, burst and slack
     quota: tuple[float, float] = (RATE, BURST)
     wall_off: tuple[tuple[str, float], ...] = ()        # by process: s that its wall clock is off
-    broken: str = ""            # all processes have this fault (`broken.py`)
+    broken: str = ""            # all processes have this fault (`fault_injection.py`)
     etcd: bool = False          # the record is kept by a stand-in of etcd
     twins: bool = False         # the clients' sockets are held here, and a second process may inherit them
 
@@ -166,7 +166,7 @@
     async def _start(self) -> None:
         await self.count.start()
         if self.shape.etcd:
-            from fennelpoint.standins.etcd import Etcd
+            from fennelpoint.testing.etcd import Etcd
 
             self.etcd = Etcd()
             await self.etcd.start()
@@ -283,9 +283,9 @@
                             'listen = "{}:{}"\nfolder = "{}"\n'.format(
                                 *one.fleet, Path(self.folder.name) / name))
         if (off := dict(shape.wall_off).get(name)) is not None:
-            process.program = ["-m", "fennelpoint.standins.shifted", str(off), "fennelpoint"]
+            process.program = ["-m", "fennelpoint.testing.clock_skew", str(off), "fennelpoint"]
         if shape.broken:
-            process.program = ["-m", "fennelpoint.standins.broken", shape.broken, "fennelpoint"]
+            process.program = ["-m", "fennelpoint.testing.fault_injection", shape.broken, "fennelpoint"]
 
         return process
 
--- a/fennelpoint/standins/proxies.py
+++ b/fennelpoint/testing/proxies.py
@@ -22,7 +22,7 @@
 from envoy.type.matcher.v3 import http_inputs_pb2
 from envoy.type.v3 import ratelimit_strategy_pb2
 
-from fennelpoint.standins.servers import read_message
+from fennelpoint.testing.servers import read_message
 from fennelpoint.xds.protobuf import seconds
 from fennelpoint.xds.rate_limit_filters import QUOTA_FILTER
 from fennelpoint.xds.streams import CDS, EDS, LDS, RDS
--- a/fennelpoint/standins/drawn_core.py
+++ b/fennelpoint/testing/random_core_scenarios.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from random import Random
 
-from fennelpoint.standins.core_machines import Broken
-from fennelpoint.standins.core_world import World
+from fennelpoint.testing.core_machines import Broken
+from fennelpoint.testing.core_simulation import World
 
 FIRST_ORDER, BEGIN = 2.0, 7.0  # s: the first configuration, the first trouble
 PAUSE = (0.3, 2.5)  # s between two troubles
--- a/fennelpoint/standins/retry_histories.py
+++ b/fennelpoint/testing/retry_histories.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from random import Random
 
-from fennelpoint.standins.retry_world import FAILURES, SERVICES, RetryWorld
 from fennelpoint.system.proxy.controller import Decider
+from fennelpoint.testing.retry_simulation import FAILURES, SERVICES, RetryWorld
 
 RESTS = (5.0, 30.0, 60.0, 600.0, 3600.0)  # s
 KINDS = (
--- a/fennelpoint/standins/retry_world.py
+++ b/fennelpoint/testing/retry_simulation.py
@@ -13,7 +13,6 @@
 from random import Random
 
 from fennelpoint import interface as api
-from fennelpoint.standins.retry_rule import RetryCounter
 from fennelpoint.system.actions import Send
 from fennelpoint.system.mesh import name
 from fennelpoint.system.proxy.controller import Decider
@@ -22,6 +21,7 @@
 from fennelpoint.system.proxy.session_actions import Extend, Lend
 from fennelpoint.system.registry.allocator import HOLD, Allocator
 from fennelpoint.system.settings import Bounds
+from fennelpoint.testing.retry_rule import RetryCounter
 
 TICK = 0.05  # s between looks of a session at its clock
 CORE = name("roll", "core")
--- a/fennelpoint/standins/scenario_language.py
+++ b/fennelpoint/testing/scenario_language.py
@@ -22,13 +22,13 @@
 
 import json
 
-from fennelpoint.standins.core_machines import Backend, Broken, Core, Front
+from fennelpoint.testing.core_machines import Backend, Broken, Core, Front
 
 COLD_SECONDS = 3.0  # that a backend is cold, where a scenario names none
 
 
 class ScenarioLanguage:
-    """Carries out lines upon a `core_world.World`, which is this and what it names."""
+    """Carries out lines upon a `core_simulation.World`, which is this and what it names."""
 
     def do(self, words: list[str]) -> None:
         """One line of a scenario; `newest` stands for the newest version that is known."""
--- a/fennelpoint/standins/soak/cuttable.py
+++ b/fennelpoint/testing/soak/connection_cutter.py
@@ -1,4 +1,6 @@
-"""A program of the system whose held connections can be cut: `python -m fennelpoint.standins.soak.cuttable ROLE ...`.
+"""A program of the system whose held connections can be cut.
+
+`python -m fennelpoint.testing.soak.connection_cutter ROLE ...`
 
 The file that the environment names holds the addresses that this process does not hear.  What they say while they are
 cut off is held, as packets that a network sends again; a connection that is silent for long is left by the program
--- a/fennelpoint/standins/soak/play.py
+++ b/fennelpoint/testing/soak/runner.py
@@ -15,13 +15,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from fennelpoint.standins.soak.cuttable import VARIABLE
-from fennelpoint.standins.soak.plan import CALM, Entry, Trouble, draw
-from fennelpoint.standins.soak.records import LAG, Records, Span
-from fennelpoint.standins.soak.traffic import SLOWER, Places, SoakBackend, SoakClient, Weather
-from fennelpoint.standins.soak.versions import VersionClient, Versions, routes_of
-from fennelpoint.standins.system_demo import GRACE, KEY, Site, call, until
 from fennelpoint.system.settings import Bounds
+from fennelpoint.testing.soak.connection_cutter import VARIABLE
+from fennelpoint.testing.soak.plan import CALM, Entry, Trouble, draw
+from fennelpoint.testing.soak.records import LAG, Records, Span
+from fennelpoint.testing.soak.traffic import SLOWER, Places, SoakBackend, SoakClient, Weather
+from fennelpoint.testing.soak.versions import VersionClient, Versions, routes_of
+from fennelpoint.testing.system_demo import GRACE, KEY, Site, call, until
 
 ZONES = {"za": "ra", "zb": "rb", "zc": "rc"}
 CORES = ("core-za", "core-zb", "core-zc")
@@ -39,7 +39,7 @@
 FORBIDDEN = (" 500 VIOLATED ", " 111 CRASHED ")  # in the log of any process
 PROGRAM = (
     "import runpy, sys; sys.argv[0] = 'cuttable'; "
-    "runpy.run_module('fennelpoint.standins.soak.cuttable', run_name='__main__', alter_sys=True)"
+    "runpy.run_module('fennelpoint.testing.soak.connection_cutter', run_name='__main__', alter_sys=True)"
 )
 
 
--- a/fennelpoint/standins/soak/traffic.py
+++ b/fennelpoint/testing/soak/traffic.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from urllib.parse import urlencode
 
-from fennelpoint.standins.servers import read_message
-from fennelpoint.standins.soak.records import PROMISES, Departure, Lookup, Records, Run
-from fennelpoint.standins.system_demo import KEY, Backend
+from fennelpoint.testing.servers import read_message
+from fennelpoint.testing.soak.records import PROMISES, Departure, Lookup, Records, Run
+from fennelpoint.testing.system_demo import KEY, Backend
 
 TIMEOUT = 2.0  # s that a client waits for an answer
 CONNECT = 1.0  # s for a connection, and for an answer of the directory
--- a/fennelpoint/standins/soak/versions.py
+++ b/fennelpoint/testing/soak/versions.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fennelpoint.standins.servers import read_message
-from fennelpoint.standins.system_demo import KEY
+from fennelpoint.testing.servers import read_message
+from fennelpoint.testing.system_demo import KEY
 
 HOST = "bookings.example"
 KEPT = 8  # versions in which a route is there: the one that brings it, and the next ones
--- a/fennelpoint/standins/system_demo.py
+++ b/fennelpoint/testing/system_demo.py
@@ -20,9 +20,9 @@
 
 from result import Ok
 
-from fennelpoint.standins.process import free_port
-from fennelpoint.standins.servers import read_message
 from fennelpoint.system.client import Client
+from fennelpoint.testing.process import free_port
+from fennelpoint.testing.servers import read_message
 
 ZONES = {"za": "ra", "zb": "rb", "zc": "rc"}
 FIRST_SERVICE = 5.0     # s from the fronts' readiness until each region is served
--- a/fennelpoint/standins/traffic.py
+++ b/fennelpoint/testing/traffic.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from fennelpoint.standins.servers import read_message
+from fennelpoint.testing.servers import read_message
 
 if TYPE_CHECKING:
-    from fennelpoint.standins.world import World
+    from fennelpoint.testing.ingress_harness import World
 
 IDS = iter(range(1, 1 << 30))
 
--- a/tests/bgp/test_announcing.py
+++ b/tests/bgp/test_announcing.py
@@ -18,11 +18,11 @@
 from fennelpoint.bgp.service import fetch_status, status_lines
 from fennelpoint.cli import main
 from fennelpoint.demo import EXAMPLE, SETTINGS
-from fennelpoint.standins import Backend, Count, List, member, until
-from fennelpoint.standins.process import Command, IngressProcess, free_port
-from fennelpoint.standins.router import Router
-from fennelpoint.standins.servers import read_message
-from fennelpoint.standins.world import run
+from fennelpoint.testing import Backend, Count, List, member, until
+from fennelpoint.testing.ingress_harness import run
+from fennelpoint.testing.process import Command, IngressProcess, free_port
+from fennelpoint.testing.router import Router
+from fennelpoint.testing.servers import read_message
 
 LIMIT = 1.0     # s from a forced stall to the withdrawal at the router
 
--- a/tests/bgp/test_end_to_end.py
+++ b/tests/bgp/test_end_to_end.py
@@ -6,9 +6,9 @@
 import signal
 import time
 
-from fennelpoint.standins import until
-from fennelpoint.standins.announce_demo import DEADLINE, Site
-from fennelpoint.standins.world import run
+from fennelpoint.testing import until
+from fennelpoint.testing.announce_demo import DEADLINE, Site
+from fennelpoint.testing.ingress_harness import run
 
 
 def test_agencies_lose_only_what_a_stalled_ingress_held():
--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -12,9 +12,9 @@
 from fennelpoint.bgp.session import Neighbor
 from fennelpoint.bgp.speaker import Speaker
 from fennelpoint.bgp.updates import Path
-from fennelpoint.standins import until
-from fennelpoint.standins.router import Router
-from fennelpoint.standins.world import run
+from fennelpoint.testing import until
+from fennelpoint.testing.ingress_harness import run
+from fennelpoint.testing.router import Router
 
 A, B = ip_network("192.0.2.1/32"), ip_network("192.0.2.2/32")
 PATH = Path(IPv4Address("198.51.100.1"), (65001,))
--- a/tests/cells/test_cells_serving.py
+++ b/tests/cells/test_cells_serving.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from fennelpoint.operator_config import read_operator
-from fennelpoint.standins import (
+from fennelpoint.testing import (
     Backend,
     Fake,
     ask,
--- a/tests/cells/test_drawn_moves.py
+++ b/tests/cells/test_drawn_moves.py
@@ -18,7 +18,7 @@
 from fennelpoint.cells.cell_controller import CelledController
 from fennelpoint.cells.moves import Moves
 from fennelpoint.cells.plan import CellSpec, Plan
-from fennelpoint.standins.ceilings import Exact
+from fennelpoint.testing.ceilings import Exact
 
 INGRESSES, AGENCIES, MOVES, SECONDS = 3, 12, 50, 30.0
 ASKED = 12.0    # tries a second of an agency, whose quota is 8: some wait
--- a/tests/describing.py
+++ b/tests/describing.py
@@ -7,7 +7,7 @@
 
 from fennelpoint.routes.description import Loaded, Site, load
 from fennelpoint.settings import from_json
-from fennelpoint.standins import SETTINGS
+from fennelpoint.testing import SETTINGS
 
 # look is safe, book unsafe, hold keyed with a window, lost keyed without one; 3 units at most.
 GRADES = [*SETTINGS["grades"],
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -14,9 +14,9 @@
 from fennelpoint.fleet import audit, store
 from fennelpoint.fleet.audit import OUT, Book, FleetTime, Span, at_time, newest
 from fennelpoint.fleet.disk_ring_buffer import Ring
-from fennelpoint.standins.observer import faults
-from fennelpoint.standins.rig import Rig, Shape
-from fennelpoint.standins.world import run
+from fennelpoint.testing.ingress_harness import run
+from fennelpoint.testing.observer import faults
+from fennelpoint.testing.process_cluster import Rig, Shape
 
 # s from an ingress's send until the observer, which shares a busy machine, has read it: 6.5 ms were seen.
 IN_FLIGHT = 0.05
--- a/tests/fleet/test_figures.py
+++ b/tests/fleet/test_figures.py
@@ -10,9 +10,9 @@
 from fennelpoint import interface as api
 from fennelpoint.fleet import version_contents
 from fennelpoint.fleet.state import LOOSENING, TIGHTENING
-from fennelpoint.standins.observer import faults, passed
-from fennelpoint.standins.rig import Rig, Shape, content_of, figures
-from fennelpoint.standins.world import run
+from fennelpoint.testing.ingress_harness import run
+from fennelpoint.testing.observer import faults, passed
+from fennelpoint.testing.process_cluster import Rig, Shape, content_of, figures
 from fennelpoint.validation_errors import FaultyFile
 
 
--- a/tests/fleet/test_fleet_world.py
+++ b/tests/fleet/test_fleet_world.py
@@ -7,7 +7,7 @@
 from fennelpoint.fleet import rollout, state, version_lease
 from fennelpoint.fleet.rollout import Conductor, Step, Word
 from fennelpoint.fleet.version_lease import Act, Admit, Fetch, Licence, PeerWord, Shut
-from fennelpoint.standins.fleet_world import FleetWorld, Settings
+from fennelpoint.testing.fleet_simulation import FleetWorld, Settings
 
 
 def play(seed: int, **changes) -> FleetWorld:
--- a/tests/fleet/test_keeper.py
+++ b/tests/fleet/test_keeper.py
@@ -14,9 +14,9 @@
 from fennelpoint.fleet.rpc import CallFailed, Line, Refusal, Service, call_once
 from fennelpoint.fleet.store import Store
 from fennelpoint.operator_config import FaultyFile, read_operator
-from fennelpoint.standins.observer import faults
-from fennelpoint.standins.rig import Rig, Shape, content_of
-from fennelpoint.standins.world import run
+from fennelpoint.testing.ingress_harness import run
+from fennelpoint.testing.observer import faults
+from fennelpoint.testing.process_cluster import Rig, Shape, content_of
 
 
 def filled(folder: Path) -> Store:
--- a/tests/fleet/test_keepers_lost.py
+++ b/tests/fleet/test_keepers_lost.py
@@ -4,10 +4,10 @@
 import time
 
 from fennelpoint.fleet.queries import rank
-from fennelpoint.standins.links import BACK, THERE
-from fennelpoint.standins.observer import faults, served
-from fennelpoint.standins.rig import Rig, Shape
-from fennelpoint.standins.world import run
+from fennelpoint.testing.ingress_harness import run
+from fennelpoint.testing.links import BACK, THERE
+from fennelpoint.testing.observer import faults, served
+from fennelpoint.testing.process_cluster import Rig, Shape
 
 L = 1.0     # a licence's life
 
--- a/tests/fleet/test_observer.py
+++ b/tests/fleet/test_observer.py
@@ -6,11 +6,11 @@
 import pytest
 
 from fennelpoint.fleet.rpc import CallFailed
-from fennelpoint.standins.links import BACK, THERE, DatagramLink, Link, Trouble
-from fennelpoint.standins.observer import CHECKS, Arrival, Ask, Observer, faults, passed
-from fennelpoint.standins.plans import FAULTS, draw_plan
-from fennelpoint.standins.rig import Rig, Shape
-from fennelpoint.standins.world import run
+from fennelpoint.testing.fault_plans import FAULTS, draw_plan
+from fennelpoint.testing.ingress_harness import run
+from fennelpoint.testing.links import BACK, THERE, DatagramLink, Link, Trouble
+from fennelpoint.testing.observer import CHECKS, Arrival, Ask, Observer, faults, passed
+from fennelpoint.testing.process_cluster import Rig, Shape
 
 
 def seen(*arrivals: tuple[float, str, int], asks: tuple[Ask, ...] = (), **changes) -> Observer:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -5,10 +5,10 @@
 import pytest
 
 from fennelpoint.fleet.rpc import CallFailed
-from fennelpoint.standins.observer import CHECKS, faults, served
-from fennelpoint.standins.plans import play, stop_and_wake
-from fennelpoint.standins.rig import Rig, Shape
-from fennelpoint.standins.world import run
+from fennelpoint.testing.fault_plans import play, stop_and_wake
+from fennelpoint.testing.ingress_harness import run
+from fennelpoint.testing.observer import CHECKS, faults, served
+from fennelpoint.testing.process_cluster import Rig, Shape
 
 
 @pytest.mark.parametrize("seed", [1, 3, 301])
--- a/tests/fleet/test_register.py
+++ b/tests/fleet/test_register.py
@@ -23,7 +23,7 @@
     agreed,
     handle,
 )
-from fennelpoint.standins.explore import begin, begin_members, explore, joint
+from fennelpoint.testing.model_checker import begin, begin_members, explore, joint
 
 
 @pytest.mark.parametrize("tries, losses, worlds", [
--- a/tests/fleet/test_registers.py
+++ b/tests/fleet/test_registers.py
@@ -12,11 +12,11 @@
 from fennelpoint.fleet.register import Keeper
 from fennelpoint.fleet.rpc import CallFailed, Service, call_once
 from fennelpoint.fleet.store import Store
-from fennelpoint.standins.etcd import Etcd
-from fennelpoint.standins.histories import Op, faults
-from fennelpoint.standins.process import free_port
-from fennelpoint.standins.rig import Rig, Shape
-from fennelpoint.standins.world import run
+from fennelpoint.testing.etcd import Etcd
+from fennelpoint.testing.ingress_harness import run
+from fennelpoint.testing.process import free_port
+from fennelpoint.testing.process_cluster import Rig, Shape
+from fennelpoint.testing.register_linearizability import Op, faults
 
 MOST_HISTORIES = 4          # on a busy machine one history holds too few calls to show anything
 LEAST_MADE, LEAST_CALLS = 30, 200
--- a/tests/fleet/test_routes_version.py
+++ b/tests/fleet/test_routes_version.py
@@ -6,9 +6,9 @@
 from describing import described_routes
 
 from fennelpoint.fleet.queries import Fleet
-from fennelpoint.standins import SETTINGS, Backend, Count, List, member, read_message
-from fennelpoint.standins.process import Command, IngressProcess, free_port
-from fennelpoint.standins.world import run
+from fennelpoint.testing import SETTINGS, Backend, Count, List, member, read_message
+from fennelpoint.testing.ingress_harness import run
+from fennelpoint.testing.process import Command, IngressProcess, free_port
 
 
 def test_a_description_comes_with_a_version_and_a_faulty_one_changes_nothing(tmp_path):
--- a/tests/routes/test_faults.py
+++ b/tests/routes/test_faults.py
@@ -11,7 +11,7 @@
 from describing import GRADES, HEAD, PLANS, loaded, text, write
 
 from fennelpoint import __main__ as program
-from fennelpoint.standins import SETTINGS
+from fennelpoint.testing import SETTINGS
 
 LOOK = "x-larchwing: {class: look}\n"
 
--- a/tests/routes/test_same_decisions.py
+++ b/tests/routes/test_same_decisions.py
@@ -20,7 +20,7 @@
 from fennelpoint import interface as api
 from fennelpoint.net import controller_host as host_module
 from fennelpoint.operator_config import Operator, Routes
-from fennelpoint.standins import Backend, Count, ok, read_message, run, until, world
+from fennelpoint.testing import Backend, Count, ok, read_message, run, until, world
 
 REQUESTS = 70
 # Small quotas, so that some are held and some refused; a sparse plan whose tries ask the counter one by one.
--- a/tests/routes/test_serving.py
+++ b/tests/routes/test_serving.py
@@ -7,7 +7,7 @@
 
 from fennelpoint.operator_config import Operator, Routes
 from fennelpoint.routes import worker
-from fennelpoint.standins import Backend, ask, ok, read_message, request, run, until, world
+from fennelpoint.testing import Backend, ask, ok, read_message, request, run, until, world
 
 BODY = """
     servers: [{url: https://x.example/v1}]
--- a/tests/routes/test_surge.py
+++ b/tests/routes/test_surge.py
@@ -15,7 +15,7 @@
 from fennelpoint import interface as api
 from fennelpoint.operator_config import Operator, Routes
 from fennelpoint.quotas import SPARED
-from fennelpoint.standins import Backend, ok, read_message, run, until, world
+from fennelpoint.testing import Backend, ok, read_message, run, until, world
 
 RELOADS, REQUESTS, CLIENTS = 50, 5000, 24
 BODIES = [f"""
--- a/tests/routes/test_under_change.py
+++ b/tests/routes/test_under_change.py
@@ -8,7 +8,7 @@
 from fennelpoint import interface as api
 from fennelpoint.operator_config import Operator, Routes
 from fennelpoint.quotas import SPARED
-from fennelpoint.standins import Backend, ok, read_message, run, until, world
+from fennelpoint.testing import Backend, ok, read_message, run, until, world
 
 BODY = """
     x-larchwing: {class: look}
--- a/tests/system/test_contact.py
+++ b/tests/system/test_contact.py
@@ -7,8 +7,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelpoint.standins.core_machines import Broken
-from fennelpoint.standins.core_world import play
 from fennelpoint.system.actions import Send
 from fennelpoint.system.calls import find
 from fennelpoint.system.http_server import Asking
@@ -17,6 +15,8 @@
 from fennelpoint.system.registry.state_machine import Answer, Desk
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store.replicated_state import empty
+from fennelpoint.testing.core_machines import Broken
+from fennelpoint.testing.core_simulation import play
 
 OTHERS = ["b", "c", "d", "e"]
 
--- a/tests/system/test_contents.py
+++ b/tests/system/test_contents.py
@@ -6,10 +6,10 @@
 from fennelpoint.fleet import store as disk
 from fennelpoint.fleet.register import Keeper
 from fennelpoint.fleet.store import MOST_BYTES, MOST_CONTENTS, making_room
-from fennelpoint.standins.core_world import World
 from fennelpoint.system.store.content_retention import FORMER, SPREAD, needed
 from fennelpoint.system.store.replica import ROLL, SaveContent, Send, Store
 from fennelpoint.system.store.replicated_state import empty
+from fennelpoint.testing.core_simulation import World
 
 SEEDS = ["a", "b", "c"]
 
--- a/tests/system/test_core_failover.py
+++ b/tests/system/test_core_failover.py
@@ -1,6 +1,6 @@
 """Proxies of a large fleet while some of the core's machines are cut off from the others, in simulated time."""
 
-from fennelpoint.standins.core_world import World
+from fennelpoint.testing.core_simulation import World
 
 ZONES, REGIONS = 6, 3
 CORE_MACHINES, PROXIES, CUT_OFF = 11, 24, 5
--- a/tests/system/test_demo.py
+++ b/tests/system/test_demo.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fennelpoint.standins.system_demo import play
+from fennelpoint.testing.system_demo import play
 
 
 def test_a_drain_and_kills_double_no_booking_and_lose_none() -> None:
--- a/tests/system/test_directory.py
+++ b/tests/system/test_directory.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from fennelpoint.standins.core_world import World, play
 from fennelpoint.system.registry.directory import Homes, homes_by_host
+from fennelpoint.testing.core_simulation import World, play
 
 SITE = (Path(__file__).parent / "scenarios" / "site").read_text() + "front fd zd ra\nboot fd\n"
 
--- a/tests/system/test_drawn_core.py
+++ b/tests/system/test_drawn_core.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from fennelpoint.standins.core_machines import Broken
-from fennelpoint.standins.drawn_core import Deployment, DrawnDay
 from fennelpoint.system.registry.allocator import Allocator
+from fennelpoint.testing.core_machines import Broken
+from fennelpoint.testing.random_core_scenarios import Deployment, DrawnDay
 
 # Four regions, uneven zones, one region of a single zone with a single core machine.
 UNEVEN = Deployment(
--- a/tests/system/test_front.py
+++ b/tests/system/test_front.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from fennelpoint.standins.process import free_port
 from fennelpoint.system import settings
 from fennelpoint.system.proxy.events import RetryRule
 from fennelpoint.system.proxy.program import Program
 from fennelpoint.system.registry.grants import GRANT_LIFE
+from fennelpoint.testing.process import free_port
 
 CONFIGURATION = {"version": 3, "clusters": [{"name": "svc"}], "listener_table": [{"host": "h", "rule_set": [
     {"name": "r", "kind": "non_idempotent", "match_criteria": {"path_prefix": "/r/"},
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -10,8 +10,6 @@
 import pytest
 
 from fennelpoint.fleet.register import Cell, Hello, Keeper, handle
-from fennelpoint.standins.core_machines import Broken
-from fennelpoint.standins.core_world import play
 from fennelpoint.system.incarnation import first_number, same_life
 from fennelpoint.system.proxy import core_session
 from fennelpoint.system.proxy.core_session import CoreSession
@@ -23,6 +21,8 @@
 from fennelpoint.system.store import replica
 from fennelpoint.system.store.replica import FOUNDED, KEY, Send, Store
 from fennelpoint.system.store.replicated_state import empty
+from fennelpoint.testing.core_machines import Broken
+from fennelpoint.testing.core_simulation import play
 
 SCENARIOS = Path(__file__).parent / "scenarios"
 
--- a/tests/system/test_invalid_configurations.py
+++ b/tests/system/test_invalid_configurations.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fennelpoint.standins.core_world import World, play
+from fennelpoint.testing.core_simulation import World, play
 
 TENANTS, SERVICES, HOSTS, ROUTES = 140, 3, 20, 3
 CORE = """
--- a/tests/system/test_lease_bounds.py
+++ b/tests/system/test_lease_bounds.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 from result import Err, Ok
 
-from fennelpoint.standins.core_world import World
 from fennelpoint.system.settings import CLOCK_RATES, KEPT_BY_LEASE, LEAST_LEASE, Bounds, read
 from fennelpoint.system.settings_schema import check_settings
+from fennelpoint.testing.core_simulation import World
 
 SITE = (Path(__file__).parent / "scenarios" / "site").read_text()
 TEXT = """node_name=f
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -3,10 +3,10 @@
 from random import Random
 
 from fennelpoint.fleet.register import Keeper
-from fennelpoint.standins.core_world import play
 from fennelpoint.system.graceful_shutdown import LINGER, MOST, within
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store.replica import REJOIN, Store
+from fennelpoint.testing.core_simulation import play
 
 SITE = """
 core a1 za ra
--- a/tests/system/test_linearizable.py
+++ b/tests/system/test_linearizable.py
@@ -15,13 +15,13 @@
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
 
-from fennelpoint.standins.core_machines import Broken
-from fennelpoint.standins.linearizable import Held, Op, fault, step
-from fennelpoint.standins.operator_plans import Errand, Plan, Trouble
-from fennelpoint.standins.operators import play
 from fennelpoint.system.actions import Send
 from fennelpoint.system.store import replica
 from fennelpoint.system.store.replica import ROLL, Store
+from fennelpoint.testing.core_machines import Broken
+from fennelpoint.testing.linearizable import Held, Op, fault, step
+from fennelpoint.testing.operator_plans import Errand, Plan, Trouble
+from fennelpoint.testing.operators import play
 
 RUNS, SEED, SMALL = (os.environ.get("LARCHWING_HISTORIES", "") + "::").split(":")[:3]
 ERRANDS = ("put", "patch", "get", "snapshot", "evacuate", "restore")
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -10,10 +10,10 @@
 from time import process_time
 
 from fennelpoint.fleet.store import MOST_CONTENTS
-from fennelpoint.standins.core_machines import Core, Front
-from fennelpoint.standins.core_world import World
 from fennelpoint.system.frames import pack
 from fennelpoint.system.mesh import ip_of
+from fennelpoint.testing.core_machines import Core, Front
+from fennelpoint.testing.core_simulation import World
 
 CORES = {"a1": ("za", "ra"), "b1": ("zb", "rb"), "c1": ("zc", "rc"), "a2": ("zd", "ra"), "b2": ("ze", "rb")}
 SLACK = 3.0     # s that a member's way back may take
--- a/tests/system/test_mesh.py
+++ b/tests/system/test_mesh.py
@@ -7,8 +7,8 @@
 import pytest
 import uvloop
 
-from fennelpoint.standins.process import free_port
 from fennelpoint.system.mesh import Mesh, name
+from fennelpoint.testing.process import free_port
 
 IPS = ("127.0.0.1", "127.0.0.2")
 
--- a/tests/system/test_ports.py
+++ b/tests/system/test_ports.py
@@ -6,10 +6,10 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from fennelpoint.standins.core_world import World
 from fennelpoint.system.calls import TABLE, find
 from fennelpoint.system.frames import MOST, BadFrame, Unpacker, pack
 from fennelpoint.system.http_server import Asking, Reply, Visit, Web
+from fennelpoint.testing.core_simulation import World
 
 WORDS = st.text(max_size=8)
 VALUES = st.recursive(st.none() | st.booleans() | st.integers(-2 ** 40, 2 ** 40) | st.floats() | WORDS,
--- a/tests/system/test_retry_budget.py
+++ b/tests/system/test_retry_budget.py
@@ -6,10 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fennelpoint.standins.retry_histories import draw_step, play
-from fennelpoint.standins.retry_rule import RetryCounter
-from fennelpoint.standins.retry_world import RetryWorld
 from fennelpoint.system.proxy.retry_budget import BURST_PART, RetryBudget
+from fennelpoint.testing.retry_histories import draw_step, play
+from fennelpoint.testing.retry_rule import RetryCounter
+from fennelpoint.testing.retry_simulation import RetryWorld
 
 STEPS = st.lists(st.integers(0, 1 << 30).map(lambda seed: draw_step(Random(seed))), min_size=3, max_size=10)
 
--- a/tests/system/test_scenarios.py
+++ b/tests/system/test_scenarios.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fennelpoint.standins.core_world import play
+from fennelpoint.testing.core_simulation import play
 
 FILES = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
 SITE = (Path(__file__).parent / "scenarios" / "site").read_text()
--- a/tests/system/test_silent_backends.py
+++ b/tests/system/test_silent_backends.py
@@ -9,8 +9,8 @@
 import pytest
 from test_front import CONFIGURATION, CORE, Booking, post, settings_of
 
-from fennelpoint.standins.process import free_port
 from fennelpoint.system.proxy.program import Program
+from fennelpoint.testing.process import free_port
 
 TIMEOUT = 1.0  # s, the route's, for one try at all its backends
 STANDS_STILL = 0.3  # s before a process ends; the share of the slack has saved a retry by then
--- a/tests/system/test_size.py
+++ b/tests/system/test_size.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from fennelpoint.standins.core_world import World, grown
 from fennelpoint.system.frames import pack
+from fennelpoint.testing.core_simulation import World, grown
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from fennelpoint.standins.soak.plan import ON_CORE, Trouble, draw
-from fennelpoint.standins.soak.play import play
-from fennelpoint.standins.soak.records import Departure, Lookup, Records, Run, Span
-from fennelpoint.standins.soak.versions import Answer, Versions
+from fennelpoint.testing.soak.plan import ON_CORE, Trouble, draw
+from fennelpoint.testing.soak.records import Departure, Lookup, Records, Run, Span
+from fennelpoint.testing.soak.runner import play
+from fennelpoint.testing.soak.versions import Answer, Versions
 
 SEED, GROUPS = 11, 1  # LEAVING_CLIENTS, ROLL_FRONTS and PAUSE_CORE
 
--- a/tests/system/test_tool.py
+++ b/tests/system/test_tool.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 from result import Err, Ok
 
-from fennelpoint.standins.core_world import World
 from fennelpoint.system import operator_cli, settings
 from fennelpoint.system.http_server import Web
 from fennelpoint.system.settings_schema import check_settings
+from fennelpoint.testing.core_simulation import World
 
 BOOT = """node_name=n\nnode_role=r\nip_address=10.1.0.8\navailability_zone=za\nregion=ra\nzones.za=ra\n
 internal_ports=7600,7615\nseed_nodes=10.1.0.11:8200,10.2.0.5:8200\nfirst_start=true\nlimits.memory_mb=300\n
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -1,6 +1,6 @@
 """The rule on ceilings as a sum over all ingresses, by a checker that shares nothing with the module.
 
-`fennelpoint/standins/ceilings.py` has the days; `benchmarks/ceilings.py` plays thousands of them.
+`fennelpoint/testing/ceilings.py` has the days; `benchmarks/ceilings.py` plays thousands of them.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from fennelpoint import Controller, shared_counter
 from fennelpoint import interface as api
 from fennelpoint.shared_counter import base_of, name_of
-from fennelpoint.standins.ceilings import Day, Exact, Fault, Flow
+from fennelpoint.testing.ceilings import Day, Exact, Fault, Flow
 
 # Days that broke it before stores were put right first.
 FOUND = (1374, 5667, 6128, 6215, 7996, 10897, 12366, 12642, 12850, 13132, 13521, 15731, 16926, 17701, 18404,
--- a/tests/test_ceilings_serving.py
+++ b/tests/test_ceilings_serving.py
@@ -4,8 +4,8 @@
 import time
 
 from fennelpoint.shared_counter import name_of
-from fennelpoint.standins import Backend, Count, ask, ok, request, run, world
-from fennelpoint.standins.ceilings import Exact
+from fennelpoint.testing import Backend, Count, ask, ok, request, run, world
+from fennelpoint.testing.ceilings import Exact
 
 DEAR = {"name": "dear", "pays": 1.8, "quota_rate": 4.0, "store_size": 8.0, "overrun_cost": 0.8,
         "ceiling_rate": 8.0, "cap_depth": 20.0, "cap_slack": 3.0}
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -116,7 +116,7 @@
 def test_ingress_with_the_part_off_loads_none_of_it():
     code = ("import sys, fennelpoint.__main__\n"
             "parts = ('fennelpoint.routes', 'fennelpoint.operator_config', 'fennelpoint.net.route_matching',\n"
-            "         'fennelpoint.standins', 'fennelpoint.cli', 'fennelpoint.xds', 'fennelpoint.bgp',\n"
+            "         'fennelpoint.testing', 'fennelpoint.cli', 'fennelpoint.xds', 'fennelpoint.bgp',\n"
             "         'fennelpoint.net.heartbeat', 'fennelpoint.fleet', 'fennelpoint.net.process_group')\n"
             "libraries = ('yaml', 'jsonschema_rs', 'openapi_spec_validator', 'click', 'tomllib', 'grpc',\n"
             "             'structlog', 'aetcd', 'sqlite3')\n"
@@ -150,8 +150,8 @@
     """The whole program, its own process: the example, SIGHUP, and a clean end."""
     import asyncio
 
-    from fennelpoint.standins import Backend, Count, List, member, read_message
-    from fennelpoint.standins.process import IngressProcess
+    from fennelpoint.testing import Backend, Count, List, member, read_message
+    from fennelpoint.testing.process import IngressProcess
 
     async def play() -> int:
         backend, count = Backend(), Count()
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -9,7 +9,7 @@
 from fennelpoint.net.backends import UpstreamConnection
 from fennelpoint.net.controller_host import LEFT_AT_WORK
 from fennelpoint.net.server import RESET
-from fennelpoint.standins import Backend, Fake, ask, read_message, request, run, until, world
+from fennelpoint.testing import Backend, Fake, ask, read_message, request, run, until, world
 
 MB = 1 << 20
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -6,7 +6,7 @@
 
 from fennelpoint.interface import Status
 from fennelpoint.net.counter import Counter, amount_text
-from fennelpoint.standins import Fake, run, until
+from fennelpoint.testing import Fake, run, until
 
 
 class Play:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 from fennelpoint.interface import BackendState, RosterKind
 from fennelpoint.net.discovery import Discovery, ListError, parse_address, parse_list
 from fennelpoint.settings import from_json
-from fennelpoint.standins import (
+from fennelpoint.testing import (
     SETTINGS,
     Backend,
     Fake,
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -8,7 +8,7 @@
 from fennelpoint.file_descriptors import MOST_CALLERS
 from fennelpoint.lifecycle import Phase
 from fennelpoint.net.admin_socket import MOST_LINE
-from fennelpoint.standins import Backend, ask, ok, read_message, request, run, until, world
+from fennelpoint.testing import Backend, ask, ok, read_message, request, run, until, world
 
 READY = b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 from fennelpoint import Controller
 from fennelpoint import interface as api
 from fennelpoint.shared_counter import level_of, name_of
-from fennelpoint.standins.fleet import Fleet
+from fennelpoint.testing.controller_simulation import Fleet
 
 INGRESSES = 40
 CAPS = api.Plan("capped", price=3.0, rate=10.0, burst=10.0, over_cost=1.0, ceiling_rate=20.0,
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -15,7 +15,7 @@
 from fennelpoint.net.request_parser import Reader
 from fennelpoint.net.server import ClientConnection
 from fennelpoint.settings import from_json
-from fennelpoint.standins import SETTINGS, request
+from fennelpoint.testing import SETTINGS, request
 
 BIG = bytes(range(256)) * ((MOST_HELD + 40_000) // 256)
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -8,7 +8,7 @@
 
 from fennelpoint import body_buffering
 from fennelpoint.lifecycle import Event
-from fennelpoint.standins import Backend, Fake, ok, read_message, request, run, until, world
+from fennelpoint.testing import Backend, Fake, ok, read_message, request, run, until, world
 
 MB = 1 << 20
 LINES = b"HTTP/1.1 200 OK\r\n"
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -7,7 +7,7 @@
 from fennelpoint import quotas, selection, state
 from fennelpoint.settings import from_json
 from fennelpoint.shared_counter import LIFE, base_of, name_of
-from fennelpoint.standins import SETTINGS
+from fennelpoint.testing import SETTINGS
 
 INGRESSES = 200
 FAST, SLOW = 0.002, 0.045  # s for an answer of a counter whose time-out is 0.05 s
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from fennelpoint.standins import SETTINGS, member
-from fennelpoint.standins.process import free_port
+from fennelpoint.testing import SETTINGS, member
+from fennelpoint.testing.process import free_port
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from fennelpoint.standins import (
+from fennelpoint.testing import (
     SETTINGS,
     Backend,
     Count,
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -8,7 +8,7 @@
 
 from fennelpoint import file_descriptors
 from fennelpoint.file_descriptors import KEPT, YOUNG, Leaves, Plan, who_leaves
-from fennelpoint.standins import Backend, ok, read_message, request, run, until, world
+from fennelpoint.testing import Backend, ok, read_message, request, run, until, world
 
 NOW = 100.0
 MINUTE = 60.0
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -10,7 +10,7 @@
 from fennelpoint.body_buffering import MOST
 from fennelpoint.file_descriptors import Plan
 from fennelpoint.lifecycle import Phase
-from fennelpoint.standins import Backend, ask, ok, read_message, request, run, until, world
+from fennelpoint.testing import Backend, ask, ok, read_message, request, run, until, world
 
 
 @pytest.mark.parametrize("data, status", [
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,8 +16,8 @@
 import pytest
 from test_program import config
 
-from fennelpoint.standins import SETTINGS, Backend, Count, List, member, ok, read_message, request, run, until
-from fennelpoint.standins.process import IngressProcess
+from fennelpoint.testing import SETTINGS, Backend, Count, List, member, ok, read_message, request, run, until
+from fennelpoint.testing.process import IngressProcess
 
 PLAN = {"name": "basic", "pays": 1.0, "quota_rate": 4000.0, "store_size": 8000.0}
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -6,7 +6,7 @@
 
 from fennelpoint.interface import BackendState, Probe, Status
 from fennelpoint.net.backends import Exchange, load_report
-from fennelpoint.standins import Backend, ask, member, ok, request, run, until, world
+from fennelpoint.testing import Backend, ask, member, ok, request, run, until, world
 
 # Each request is asked in turn; what the client gets is told by the status.
 SERVED, REFUSED, FAILED = "200", "503", "502"
--- a/tests/xds/proxies.py
+++ b/tests/xds/proxies.py
@@ -14,8 +14,8 @@
 from fennelpoint.routes.description import Site, load
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.settings import from_json
-from fennelpoint.standins import SETTINGS, List, until
-from fennelpoint.standins.proxies import MESSAGES, Proxy
+from fennelpoint.testing import SETTINGS, List, until
+from fennelpoint.testing.proxies import MESSAGES, Proxy
 from fennelpoint.xds.server import ControlServer
 
 __all__ = ["LOOP", "MESSAGES", "Proxy", "control", "run", "settings", "table"]
--- a/tests/xds/test_bookings.py
+++ b/tests/xds/test_bookings.py
@@ -15,9 +15,9 @@
 from fennelpoint.demo import EXAMPLE
 from fennelpoint.demo import SETTINGS as EXAMPLE_SETTINGS
 from fennelpoint.settings import from_json
-from fennelpoint.standins import Backend, List, member, until
-from fennelpoint.standins.proxies import Front
-from fennelpoint.standins.servers import ok
+from fennelpoint.testing import Backend, List, member, until
+from fennelpoint.testing.proxies import Front
+from fennelpoint.testing.servers import ok
 
 LIMIT = 0.5     # s
 
--- a/tests/xds/test_cells.py
+++ b/tests/xds/test_cells.py
@@ -9,8 +9,8 @@
 
 from fennelpoint.demo import EXAMPLE, SETTINGS
 from fennelpoint.settings import from_json
-from fennelpoint.standins import List, member, until
-from fennelpoint.standins.proxies import Front
+from fennelpoint.testing import List, member, until
+from fennelpoint.testing.proxies import Front
 from fennelpoint.xds.streams import CDS, EDS, RDS
 
 HOLD = ("PUT", "/v1/slots/7/hold")
--- a/tests/xds/test_collections.py
+++ b/tests/xds/test_collections.py
@@ -15,7 +15,7 @@
 from fennelpoint import interface as api
 from fennelpoint.demo import EXAMPLE, SETTINGS
 from fennelpoint.settings import from_json
-from fennelpoint.standins import List, member, until
+from fennelpoint.testing import List, member, until
 from fennelpoint.xds.resources import collections
 from fennelpoint.xds.streams import EDS, LEDS, Misuse, Snapshot, Stream
 from fennelpoint.xds.version_labels import Stand
--- a/tests/xds/test_control_server.py
+++ b/tests/xds/test_control_server.py
@@ -21,7 +21,7 @@
 from fennelpoint.routes.paths import parse_template
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.settings import from_json
-from fennelpoint.standins import List, member, until
+from fennelpoint.testing import List, member, until
 from fennelpoint.xds.server import fetch_status, status_lines
 from fennelpoint.xds.streams import CDS, EDS, LDS, RDS
 
--- a/tests/xds/test_grpc_client.py
+++ b/tests/xds/test_grpc_client.py
@@ -13,7 +13,7 @@
 import grpc
 from proxies import control, run, settings
 
-from fennelpoint.standins import List, member, until
+from fennelpoint.testing import List, member, until
 
 CLIENT = Path(__file__).parent / "grpc_client.py"
 DESCRIPTION = """openapi: 3.1.0
--- a/tests/xds/test_leases.py
+++ b/tests/xds/test_leases.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from fennelpoint import interface as api
-from fennelpoint.standins.proxies import Tokens as Bucketful
+from fennelpoint.testing.proxies import Tokens as Bucketful
 from fennelpoint.xds.leases import Abandon, Assign, Bank, Promise, Reader, desk_settings, kept, water_level
 from fennelpoint.xds.quota_checker import Desk, Verdict
 from fennelpoint.xds.streams import Misuse
--- a/tests/xds/test_quotas.py
+++ b/tests/xds/test_quotas.py
@@ -14,8 +14,8 @@
 from proxies import control, run, settings
 
 from fennelpoint.demo import EXAMPLE
-from fennelpoint.standins import Count, List, member, until
-from fennelpoint.standins.proxies import Front, QuotaClient
+from fennelpoint.testing import Count, List, member, until
+from fennelpoint.testing.proxies import Front, QuotaClient
 from fennelpoint.xds import quotas as limits
 from fennelpoint.xds.leases import kept
 from fennelpoint.xds.quotas import strategy
--- a/tests/xds/test_service.py
+++ b/tests/xds/test_service.py
@@ -10,8 +10,8 @@
 
 from fennelpoint.cli import main
 from fennelpoint.demo import EXAMPLE, SETTINGS
-from fennelpoint.standins import List, member, until
-from fennelpoint.standins.process import Command
+from fennelpoint.testing import List, member, until
+from fennelpoint.testing.process import Command
 from fennelpoint.xds.streams import RDS
 
 
--- a/tests/xds/test_tls.py
+++ b/tests/xds/test_tls.py
@@ -13,7 +13,7 @@
 from fennelpoint.demo import EXAMPLE, SETTINGS
 from fennelpoint.operator_config import Control
 from fennelpoint.settings import from_json
-from fennelpoint.standins import List, member, until
+from fennelpoint.testing import List, member, until
 from fennelpoint.validation_errors import FaultyFile
 from fennelpoint.xds.server import fetch_status, status_lines
 from fennelpoint.xds.streams import EDS
--- a/tests/xds/test_validation.py
+++ b/tests/xds/test_validation.py
@@ -20,7 +20,7 @@
 from fennelpoint.routes.description import Site, load
 from fennelpoint.routes.table import RouteTable
 from fennelpoint.settings import from_json
-from fennelpoint.standins import SETTINGS
+from fennelpoint.testing import SETTINGS
 from fennelpoint.xds.rate_limit_filters import LIMIT_FILTER, QUOTA_FILTER, Limits
 from fennelpoint.xds.resources import endpoint_bodies, route_bodies
 from fennelpoint.xds.routing import Routing
