--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from test_bodies import unchunk
+from test_body_buffering import unchunk
 
 from fennelpoint.body_buffering import MOST_HELD, READ, WHOLE, Budget
 from fennelpoint.interface import BackendState, Status
