--- a/fennelpoint/system/proxy/core_session.py
+++ b/fennelpoint/system/proxy/core_session.py
@@ -15,7 +15,7 @@
 from fennelpoint.system.proxy.config_fetch import ContentRequests
 from fennelpoint.system.proxy.core_choice import CoreChoice
 from fennelpoint.system.proxy.session_actions import Apply, Extend, Hold, Lend, Parts, Refresh, Units
-from fennelpoint.system.registry.backend_table import Backends, Told
+from fennelpoint.system.registry.backend_table import BackendReport, BackendTable
 from fennelpoint.system.registry.grants import DRAW_LIFE, GRANT_LIFE
 from fennelpoint.system.rendezvous_hashing import preference
 from fennelpoint.system.settings import Bounds
@@ -38,7 +38,7 @@
     about: dict             # what each ask tells of us: address, zone, region, life
     born: float
     lease_s: float = Bounds().lease_s   # that a lease lasts, from the sending of its ask
-    backends: Backends = field(default_factory=Backends)
+    backends: BackendTable = field(default_factory=BackendTable)
     rev: int = -1
     version: int = 0
     digest: str = ""
@@ -164,7 +164,7 @@
 
     def _known(self, now: float) -> list:
         """The list as it is here, and which of them count as lost."""
-        return [[*b.now(now).pack(), b.lost] for b in self.backends.known.values()]
+        return [[*b.current_report(now).pack(), b.is_lost] for b in self.backends.by_id.values()]
 
     def _ask_by_helper(self, now: float) -> None:
         self._send(self.helper, ["pass", ["ask", self._number(now), self.ready, self.number, self._wants(now),
@@ -268,11 +268,12 @@
     def _on_list(self, peer: str, now: float, life: int, number: int, items: list, whole: bool) -> None:
         changed = False
         for *item, lost in items:
-            told = Told(*item)
-            changed = self.backends.fold(told, now) or changed
-            b = self.backends.known[told.id]
-            if lost is not None and b.lost is not lost and told.age < 3600 and (lost is False or now - b.heard > 2.0):
-                b.lost, changed = lost, True
+            told = BackendReport(*item)
+            changed = self.backends.merge(told, now) or changed
+            b = self.backends.by_id[told.id]
+            if lost is not None and b.is_lost is not lost and told.age_s < 3600 and (
+                    lost is False or now - b.heard_at > 2.0):
+                b.is_lost, changed = lost, True
         self.number = number
         if whole:
             self.lists.add(peer)
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -195,8 +195,8 @@
         cells, regions = {}, self.settings.zones
         for cell, (service, homes) in self.reader.cells.items():
             cells[cell] = api.Cell(frozenset(
-                id for id, b in self.session.backends.known.items() if b.told.service == service
-                and (homes is None or regions.get(b.told.zone) in homes)))
+                id for id, b in self.session.backends.by_id.items() if b.report.service == service
+                and (homes is None or regions.get(b.report.zone) in homes)))
         self.host.post(api.Cells(cells))
 
     def _refresh_soon(self) -> None:
@@ -220,8 +220,8 @@
             self.restored[zone] = now
         self.evac = session.evac
         entries, addresses = [], {}
-        for id, b in session.backends.known.items():
-            told = b.told
+        for id, b in session.backends.by_id.items():
+            told = b.report
             try:
                 addresses[id] = address(told.address)
             except ValueError:
@@ -229,7 +229,7 @@
             state = api.BackendState.READY
             if told.state == GONE:
                 state = api.BackendState.GONE
-            elif told.state == DRAINING or b.lost or told.zone in session.evac:
+            elif told.state == DRAINING or b.is_lost or told.zone in session.evac:
                 state = api.BackendState.DRAINING
             entries.append(api.BackendEntry(id, state))
         self._place(now)
@@ -240,13 +240,13 @@
         far, slots, cold = {}, {}, {}
         settings = self.settings
         clusters = self.reader.version.clusters if self.reader.version is not None else {}
-        for id, b in self.session.backends.known.items():
-            zone = b.told.zone
+        for id, b in self.session.backends.by_id.items():
+            zone = b.report.zone
             region = settings.zones.get(zone)
             far[id] = FAR_REGION if region != settings.region else FAR_ZONE if zone != (
                 settings.availability_zone) else NEAR
-            slots[id] = max(1, b.told.slots)
-            cluster = clusters.get(b.told.service)
+            slots[id] = max(1, b.report.free_slots)
+            cluster = clusters.get(b.report.service)
             until = b.cold_until
             if cluster is not None and zone in self.restored:
                 until = max(until, self.restored[zone] + cluster[0])
--- a/fennelpoint/system/registry/__init__.py
+++ b/fennelpoint/system/registry/__init__.py
@@ -1,1 +1,1 @@
-"""`roll`: knows backends, fronts and core machines, renews leases, and takes the calls from outside."""
+"""The registry (`roll`): tracks backends, proxies and core machines, renews leases and serves calls from outside."""
--- a/fennelpoint/system/registry/allocation_leader.py
+++ b/fennelpoint/system/registry/allocation_leader.py
@@ -1,6 +1,6 @@
 """The duty of allocating parts: one core machine at a time does it, by a lease that a majority granted and by a term.
 
-A part of `state_machine.Desk`.  Whoever is granted the duty asks the store for a term, a number that is agreed
+A part of `state_machine`.  Whoever is granted the duty asks the store for a term, a number that is agreed
 since no registry remembers one, and allocates by that until another term is known to have begun.
 """
 
@@ -13,7 +13,7 @@
 from fennelpoint.system.mesh import ip_of, name
 from fennelpoint.system.registry.allocation_parameters import ColdBackends, Figures
 from fennelpoint.system.registry.allocator import HOLD, Allocator
-from fennelpoint.system.registry.backend_table import Backends
+from fennelpoint.system.registry.backend_table import BackendTable
 from fennelpoint.system.registry.leader_lease import Duty
 from fennelpoint.system.registry.proxy_enrollment import Roster
 from fennelpoint.system.settings import Bounds
@@ -28,25 +28,25 @@
 
 
 class Registry(Protocol):
-    """What the duty needs of the desk that it is a part of."""
+    """What the duty needs of the registry that it is a part of."""
 
-    me: str
-    store: str
+    node_ip: str
+    store_peer: str
     seeds: list[str]
-    tokens: int
-    world: dict
-    links: set[str]
-    fronts: dict[str, int]
-    backends: Backends
+    last_token: int
+    cluster_state: dict
+    linked_registries: set[str]
+    connected_proxies: dict[str, int]
+    backends: BackendTable
     bounds: Bounds
-    read_at: float
-    out: list
+    state_confirmed_at: float
+    actions: list
 
     @property
-    def others(self) -> list[str]: ...
-    def majority(self, holders: set[str]) -> bool: ...
+    def other_registries(self) -> list[str]: ...
+    def is_majority(self, holders: set[str]) -> bool: ...
     def send(self, to: str, message: list) -> None: ...
-    def read_for_itself(self, now: float) -> None: ...
+    def request_read(self, now: float) -> None: ...
 
 
 class AllocationDuty:
@@ -72,8 +72,8 @@
             self._yield("no majority grants it any more")
         self._claim(now, claims)
         self._release(now)
-        if self.allocator is not None and now - self.registry.read_at > HOLD / 3:
-            self.registry.read_for_itself(now)
+        if self.allocator is not None and now - self.registry.state_confirmed_at > HOLD / 3:
+            self.registry.request_read(now)
         self._see_to_term(now)
         self._tend_roster(now)
 
@@ -82,7 +82,7 @@
         if not self.duty.holds(now):
             if self.leading is not None:
                 # Guards whoever holds the duty by then: a term that was numbered for us would pass its own.
-                self.registry.send(self.registry.store, ["withdraw", self.leading[0]])
+                self.registry.send(self.registry.store_peer, ["withdraw", self.leading[0]])
                 self.leading = None
         elif self.leading is not None:
             if now >= self.leading[1]:
@@ -108,16 +108,16 @@
 
     def _claim(self, now: float, claims: bool) -> None:
         registry = self.registry
-        line = sorted(registry.world["voters"]) if registry.world else []
-        if not claims or registry.me not in line:
+        line = sorted(registry.cluster_state["voters"]) if registry.cluster_state else []
+        if not claims or registry.node_ip not in line:
             return
-        whole = registry.majority({registry.me, *registry.links})
-        if (term := self.duty.due(now, line.index(registry.me), whole)) is None:
+        whole = registry.is_majority({registry.node_ip, *registry.linked_registries})
+        if (term := self.duty.due(now, line.index(registry.node_ip), whole)) is None:
             return
         held = self.duty.holds(now)
         self._tell_others(["claim", list(term), held, self.duty.claims])
         if (firm := self.duty.claimed(term, held, self.duty.claims, now)) is not None:
-            self._voted(term, self.duty.claims, registry.me, firm, now)
+            self._voted(term, self.duty.claims, registry.node_ip, firm, now)
 
     def _release(self, now: float) -> None:
         if self.duty.left is None:
@@ -139,7 +139,9 @@
         self._voted(tuple(term), number, ip_of(peer), firm, now)
 
     def _voted(self, term: tuple, number: int, by: str, firm: bool, now: float) -> None:
-        voters: Collection[str] = self.registry.world["voters"] if self.registry.world else self.registry.seeds
+        voters: Collection[str] = (
+            self.registry.cluster_state["voters"] if self.registry.cluster_state else self.registry.seeds
+        )
         if self.duty.voted(term, number, by, firm, voters, now):
             self.lead(now)
 
@@ -156,12 +158,12 @@
         self.leading = None
         if not self.duty.holds(now):
             return
-        if world["term"] != self.registry.world["term"]:
+        if world["term"] != self.registry.cluster_state["term"]:
             self.wait_until = now + LEADER_SILENT
             return
         # The term was the newest at some time after it was asked for, which may be long before this answer.
-        self.allocator = Allocator([world["term"], self.registry.me], world["fronts"], now)
-        self.registry.read_at = asked_at
+        self.allocator = Allocator([world["term"], self.registry.node_ip], world["fronts"], now)
+        self.registry.state_confirmed_at = asked_at
         self.roster = Roster()
         self._note("LEADS", term=world["term"])
         self._call_fronts(now)
@@ -178,27 +180,31 @@
     def on_leads(self, peer: str, now: float, term: list) -> None:
         """A term has begun: the fronts here ask at once."""
         number, leader = term
-        if leader != self.registry.me and number >= self.registry.world.get("term", 0) and self.duty.holds(now):
+        if (
+            leader != self.registry.node_ip
+            and number >= self.registry.cluster_state.get("term", 0)
+            and self.duty.holds(now)
+        ):
             self.duty.leave()  # by voters that are not ours any more
         if self.duty.holder is None or self.duty.holder[1] != leader:
             self.duty.holder, self.duty.holder_at = (self.duty.highest, leader), now
-        for front in self.registry.fronts:
+        for front in self.registry.connected_proxies:
             self.registry.send(front, ["tell", term])
 
     def _call_fronts(self, now: float) -> None:
         """All fronts are to ask now: we have begun, or know by now what is lent."""
         self._tell_others(["leads", self.allocator.term])
-        self.on_leads(self.registry.me, now, self.allocator.term)
+        self.on_leads(self.registry.node_ip, now, self.allocator.term)
 
     def _tend_roster(self, now: float) -> None:
         if self.allocator is None:
             return
-        token = self.registry.tokens + 1
-        if (due := self.roster.due(self.allocator, self.registry.world["fronts"], token, now)) is None:
+        token = self.registry.last_token + 1
+        if (due := self.roster.due(self.allocator, self.registry.cluster_state["fronts"], token, now)) is None:
             return
         self._change(*due)
         if due[0] == "dismiss":
-            self.registry.out.append(Note("DISMISSED", {"fronts": ", ".join(due[1][0])}))
+            self.registry.actions.append(Note("DISMISSED", {"fronts": ", ".join(due[1][0])}))
 
     # Parts for fronts
 
@@ -207,12 +213,12 @@
 
         Guards parts against a reckoner that another has followed: voters change, so that two may hold the duty.
         """
-        return self.allocator is not None and self.duty.holds(now) and now - self.registry.read_at <= HOLD
+        return self.allocator is not None and self.duty.holds(now) and now - self.registry.state_confirmed_at <= HOLD
 
     def ask(self, now: float, ask: list) -> None:
         """A front here asks for parts: to whoever allocates."""
         if self.allocator is not None:
-            self.on_want(name("roll", self.registry.me), now, *ask)
+            self.on_want(name("roll", self.registry.node_ip), now, *ask)
         elif self.duty.holder is not None:
             self.registry.send(name("roll", self.duty.holder[1]), ["want", *ask])
 
@@ -229,11 +235,11 @@
         holds: list | None,
     ) -> None:
         """A front's ask for parts, by way of the registry that it asks."""
-        if not self.reckons(now) or not self.roster.admits(ip, self.registry.world["fronts"]):
+        if not self.reckons(now) or not self.roster.admits(ip, self.registry.cluster_state["fronts"]):
             return
         self.allocator.enrol([ip], now)
         before = self.allocator.settled(now)
-        cold = self.cold.bears(self.registry.backends.known, self.figures, now)
+        cold = self.cold.bears(self.registry.backends.by_id, self.figures, now)
         grant = self.allocator.want(ip, life, region, seen, asked, holds, self.figures.rates, cold, now)
         self._report_violations()
         term = self.allocator.term
@@ -247,13 +253,13 @@
 
     def _report_violations(self) -> None:
         if found := self.allocator.violations:
-            self.registry.out += found
+            self.registry.actions += found
             found.clear()
 
     def on_draw(self, peer: str, now: float, number: int, needs: dict) -> None:
         """A front asks for units of tenants that have no part there."""
         if self.allocator is not None:
-            self.on_drawn(name("roll", self.registry.me), now, ip_of(peer), number, needs)
+            self.on_drawn(name("roll", self.registry.node_ip), now, ip_of(peer), number, needs)
         elif self.duty.holder is not None:
             self.registry.send(name("roll", self.duty.holder[1]), ["drawn", ip_of(peer), number, needs])
 
@@ -262,7 +268,7 @@
         if not self.reckons(now):
             return
         # Guards a lower limit: units by the one before it are none of ours to give for long.
-        outdated = self.figures.digest != self.registry.world["digest"]
+        outdated = self.figures.digest != self.registry.cluster_state["digest"]
         if outdated and now - self.behind_since > OUTDATED_FIGURES:
             return
         slack = self.registry.bounds.quota_slack
@@ -280,7 +286,7 @@
         self._hand_on(["tell", *rest])
 
     def _answer(self, peer: str, answer: list) -> None:
-        if ip_of(peer) == self.registry.me:
+        if ip_of(peer) == self.registry.node_ip:
             self._hand_on(answer)
         else:
             self.registry.send(peer, answer)
@@ -292,14 +298,14 @@
     # Ways out
 
     def _tell_others(self, message: list) -> None:
-        for peer in self.registry.others:
+        for peer in self.registry.other_registries:
             self.registry.send(peer, message)
 
     def _change(self, kind: str, what: list) -> int:
         """Proposes a change to the store beside; the token that its answer bears."""
-        self.registry.tokens += 1
-        self.registry.send(self.registry.store, ["change", self.registry.tokens, kind, what, b""])
-        return self.registry.tokens
+        self.registry.last_token += 1
+        self.registry.send(self.registry.store_peer, ["change", self.registry.last_token, kind, what, b""])
+        return self.registry.last_token
 
     def _note(self, event: str, **what: object) -> None:
-        self.registry.out.append(Note(event, {"node": self.registry.me, **what}))
+        self.registry.actions.append(Note(event, {"node": self.registry.node_ip, **what}))
--- a/fennelpoint/system/registry/allocation_parameters.py
+++ b/fennelpoint/system/registry/allocation_parameters.py
@@ -65,7 +65,7 @@
         self, backends: Iterable[tuple[str, Backend]], figures: Figures, now: float
     ) -> Iterable[tuple[str, tuple[int, str]]]:
         for backend_id, backend in backends:
-            told = backend.told
+            told = backend.report
             if told.state != READY:
                 continue
             start = figures.cold_starts.get(told.service, ColdStart())
--- a/fennelpoint/system/registry/operator_handlers.py
+++ b/fennelpoint/system/registry/operator_handlers.py
@@ -1,6 +1,7 @@
-"""The decider of operators' calls at a registry: changes, reading back, what there is and why.
+"""Operators' calls at a registry: configuration changes, reads, evacuations, snapshots and status.
 
-A part of `state_machine.Desk`: it asks the store beside it, by tokens, and answers once a majority has.
+A part of `state_machine.RegistryStateMachine`.  It sends requests to the local store under tokens, and replies once
+the store has the answer of a majority.
 """
 
 from __future__ import annotations
@@ -14,186 +15,203 @@
 from fennelpoint.system import config_versions
 from fennelpoint.system.http_server import Asking, Reply
 from fennelpoint.system.registry.allocation_leader import AllocationDuty
-from fennelpoint.system.registry.backend_table import DRAINING, Backends
+from fennelpoint.system.registry.backend_table import DRAINING, BackendTable
 from fennelpoint.system.registry.leader_lease import SPAN
 from fennelpoint.system.registry.membership import Members
-from fennelpoint.system.registry.pending_calls import Held, fault
+from fennelpoint.system.registry.pending_calls import PendingCall, error_reply
 from fennelpoint.system.store.idempotency import floor_of, upgrade
 
-WAIT_CHANGE = 3.0   # s for the store
-BRIEF = 0.9         # s where a call must have ended before its caller sends it elsewhere, after a second of silence
-SNAPSHOT = 1        # schema of a snapshot
-KEPT = ("version", "past", "evac")      # of the agreed value, what a snapshot holds beside the configuration
+CHANGE_TIMEOUT_S = 3.0  # for the store to answer
+# For calls that must have ended before their caller, after a second without an answer, sends them to another machine.
+SHORT_TIMEOUT_S = 0.9
+SNAPSHOT_SCHEMA = 1
+SNAPSHOT_FIELDS = ("version", "past", "evac")   # of the agreed state, in a snapshot beside the configuration
 
 
-def _check(value: dict) -> Result:
-    """By pydantic, which is loaded with the first change: a registry that restarts is up in half the time."""
+def _validate(value: dict) -> Result:
+    """Check a configuration by pydantic, imported at the first change: this halves a registry's start-up time."""
     from fennelpoint.system.config_schema import check
 
     return check(value)
 
 
-class Behind(Protocol):
-    """What the office needs of the desk that it is a part of."""
+class RegistryContext(Protocol):
+    """What the handlers need of the registry that they are a part of."""
 
-    me: str
+    node_ip: str
     port: int
-    store: str
-    tokens: int
-    calls: dict[int, Held]
-    world: dict
+    store_peer: str
+    last_token: int
+    pending_calls: dict[int, PendingCall]
+    cluster_state: dict
     contents: dict[str, bytes]
-    links: set[str]
+    linked_registries: set[str]
     members: Members
-    backends: Backends
+    backends: BackendTable
     allocation: AllocationDuty
 
-    def in_touch(self, now: float) -> bool: ...
-    def answer(self, asking: Asking, reply: Reply) -> None: ...
+    def has_quorum(self, now: float) -> bool: ...
+    def answer(self, request: Asking, reply: Reply) -> None: ...
     def send(self, to: str, message: list) -> None: ...
-    def with_content(self, digest: str, now: float, then: Callable[[], None]) -> Any: ...
-
-
-class Office:
-    """Operators' calls at one core machine."""
-
-    def __init__(self, desk: Behind) -> None:
-        self.desk = desk
-
-    def _wait(self, asking: Asking, now: float, then: Callable[[list], None], brief: bool = False) -> int:
-        self.desk.tokens += 1
-        self.desk.calls[self.desk.tokens] = Held(asking, now + (BRIEF if brief else WAIT_CHANGE), then=then)
-        return self.desk.tokens
-
-    def _with_content(self, asking: Asking, now: float, digest: str, then: Callable[[], None],
-                      brief: bool = False) -> None:
-        """Go on once a content is here, if that is in time."""
-        token = self._wait(asking, now, lambda got: None, brief)
-
-        def here() -> None:
-            if self.desk.calls.pop(token, None) is not None:
-                then()
-        self.desk.with_content(digest, now, here)
-
-    def _change(self, asking: Asking, now: float, kind: str, args: list, data: bytes = b"",
-                brief: bool = False) -> None:
-        """Guards, where it is `brief`, what was told elsewhere since: the change is withdrawn with its caller."""
-        if brief and asking.gone:   # it waited while this machine stood still
-            return self.desk.answer(asking, fault(503, "the caller is gone"))
-        token = self._wait(asking, now, lambda got: self.desk.answer(
-            asking, Reply(200, {}) if got[0] == 200 else fault(got[0], got[1])), brief)
-        self.desk.calls[token].withdraw = brief
-        self.desk.send(self.desk.store, ["change", token, kind, args, data])
-
-    def _call_put(self, asking: Asking, now: float) -> None:
-        read = config_versions.decode(asking.body).and_then(
-            lambda value: config_versions.numbers(value).and_then(lambda n: _check(value).map(lambda _: (value, n))))
-        if isinstance(read, Err):
-            return self.desk.answer(asking, fault(read.err_value.status, str(read.err_value)))
-        value, (version, base) = read.ok_value
-        self._agree(asking, now, version, base, config_versions.digest(b"PUT" + asking.body), value,
-                    self._to_come(base))
-
-    def _to_come(self, base: int) -> bool:
-        """Whether 412 is not for good: the base may come while a copy of the order waits elsewhere."""
-        return base > self.desk.world.get("version", 0)
-
-    def _agree(self, asking: Asking, now: float, version: int, base: int, sent: str, value: dict,
-               brief: bool) -> None:
+    def with_content(self, digest: str, now: float, callback: Callable[[], None]) -> Any: ...
+
+
+class OperatorHandlers:
+    """Handlers of operators' calls at one core machine: `_call_<name>` for each name in `calls.TABLE`."""
+
+    def __init__(self, registry: RegistryContext) -> None:
+        self.registry = registry
+
+    def _add_pending_call(self, request: Asking, now: float, on_result: Callable[[list], None],
+                          short_timeout: bool = False) -> int:
+        """Keep a call until its result arrives; return its token."""
+        self.registry.last_token += 1
+        self.registry.pending_calls[self.registry.last_token] = PendingCall(
+            request, now + (SHORT_TIMEOUT_S if short_timeout else CHANGE_TIMEOUT_S), on_result=on_result)
+        return self.registry.last_token
+
+    def _with_content(self, request: Asking, now: float, digest: str, callback: Callable[[], None],
+                      short_timeout: bool = False) -> None:
+        """Call back once the configuration with this digest is here, unless the call times out before."""
+        token = self._add_pending_call(request, now, lambda result: None, short_timeout)
+
+        def on_content() -> None:
+            if self.registry.pending_calls.pop(token, None) is not None:
+                callback()
+        self.registry.with_content(digest, now, on_content)
+
+    def _change(self, request: Asking, now: float, kind: str, arguments: list, data: bytes = b"",
+                short_timeout: bool = False) -> None:
+        """Propose a change to the store, and reply with its outcome.
+
+        With a short timeout the change is withdrawn once its caller has gone or the time is up: it must not undo a
+        later change that the operator has made at another machine.
+        """
+        if short_timeout and request.gone:  # the request waited while this machine was paused
+            return self.registry.answer(request, error_reply(503, "the caller has disconnected"))
+        token = self._add_pending_call(request, now, lambda result: self.registry.answer(
+            request, Reply(200, {}) if result[0] == 200 else error_reply(result[0], result[1])), short_timeout)
+        self.registry.pending_calls[token].withdraw_if_abandoned = short_timeout
+        self.registry.send(self.registry.store_peer, ["change", token, kind, arguments, data])
+
+    def _call_put(self, request: Asking, now: float) -> None:
+        decoded = config_versions.decode(request.body).and_then(
+            lambda value: config_versions.numbers(value).and_then(
+                lambda versions: _validate(value).map(lambda _: (value, versions))))
+        if isinstance(decoded, Err):
+            return self.registry.answer(request, error_reply(decoded.err_value.status, str(decoded.err_value)))
+        value, (version, base) = decoded.ok_value
+        self._propose_configuration(request, now, version, base, config_versions.digest(b"PUT" + request.body), value,
+                                    self._base_may_arrive(base))
+
+    def _base_may_arrive(self, base: int) -> bool:
+        """Whether a 412 may be temporary: the base version may arrive while another machine holds the same call."""
+        return base > self.registry.cluster_state.get("version", 0)
+
+    def _propose_configuration(self, request: Asking, now: float, version: int, base: int, request_digest: str,
+                               value: dict, short_timeout: bool) -> None:
         try:
             data = zlib.compress(config_versions.encode(value), 1)
         except UnicodeEncodeError as error:
-            return self.desk.answer(asking, fault(400, f"it holds what is no text: {error.reason}"))
-        self._change(asking, now, "put", [version, base, sent, config_versions.digest(data)], data, brief)
-
-    def _call_patch(self, asking: Asking, now: float) -> None:
-        read = config_versions.decode(asking.body).and_then(
-            lambda v: config_versions.numbers(v).map(lambda n: (v, n)))
-        if isinstance(read, Err):
-            return self.desk.answer(asking, fault(read.err_value.status, str(read.err_value)))
-        value, (version, base) = read.ok_value
-        sent, brief = config_versions.digest(b"PATCH" + asking.body), self._to_come(base)
-
-        def with_world(got: list) -> None:
-            if (world := got[0]) is None:
-                return self.desk.answer(asking, fault(503, "no majority answers"))
-            if base != world["version"] or not world["digest"]:
-                # It can't be taken by what was read here, and may have been: the store tells by its memory.
-                return self._change(asking, now, "put", [version, base, sent, ""])
-            self._with_content(asking, now, world["digest"], lambda: merged(world["digest"]), brief)
-
-        def merged(digest: str) -> None:
-            held = config_versions.decode(zlib.decompress(self.desk.contents[digest])).unwrap()
-            made = config_versions.merge(held, value).and_then(lambda whole: _check(whole).map(lambda _: whole))
-            if isinstance(made, Err):
-                return self.desk.answer(asking, fault(made.err_value.status, str(made.err_value)))
-            self._agree(asking, now, version, base, sent, made.ok_value, brief)
-
-        self.desk.send(self.desk.store, ["read", self._wait(asking, now, with_world, brief)])
-
-    def _newest(self, asking: Asking, now: float, reply: Callable[[dict, bytes], Reply]) -> None:
-        """Answer by what a majority holds now: the agreed value and its configuration, as JSON."""
-        def with_world(got: list) -> None:
-            if (world := got[0]) is None:
-                return self.desk.answer(asking, fault(503, "no majority answers"))
-            if not (digest := world["digest"]):
-                return self.desk.answer(asking, fault(404, "there is no configuration yet"))
-            self._with_content(asking, now, digest, lambda: self.desk.answer(
-                asking, reply(world, zlib.decompress(self.desk.contents[digest]))))
-
-        self.desk.send(self.desk.store, ["read", self._wait(asking, now, with_world)])
-
-    def _call_get(self, asking: Asking, now: float) -> None:
-        self._newest(asking, now, lambda world, held: Reply(200, raw=held))
-
-    # An evacuation has no number that tells it from one sent before: it could bring back what was ended since.
-    def _call_evacuate(self, asking: Asking, now: float) -> None:
-        self._change(asking, now, "evacuate", [asking.segment, True], brief=True)
-
-    def _call_restore(self, asking: Asking, now: float) -> None:
-        self._change(asking, now, "evacuate", [asking.segment, False], brief=True)
-
-    # A core that was lost for good
-
-    def _call_snapshot(self, asking: Asking, now: float) -> None:
-        """All that is agreed and has to outlast the core, as one object."""
-        self._newest(asking, now, lambda world, held: Reply(200, {
-            "schema": SNAPSHOT, **{name: world[name] for name in KEPT}, "floor": floor_of(upgrade(world)),
-            "configuration": config_versions.decode(held).unwrap()}))
-
-    def _call_revive(self, asking: Asking, now: float) -> None:
-        """A snapshot, for a core that was just founded; one that holds anything refuses it."""
-        read = config_versions.decode(asking.body).and_then(config_versions.snapshot)
-        checked = read.and_then(lambda value: _check(value["configuration"]))
-        if isinstance(checked, Err):
-            return self.desk.answer(asking, fault(checked.err_value.status, str(checked.err_value)))
-        value = read.ok_value
+            return self.registry.answer(request, error_reply(400, f"configuration has invalid text: {error.reason}"))
+        self._change(request, now, "put", [version, base, request_digest, config_versions.digest(data)], data,
+                     short_timeout)
+
+    def _call_patch(self, request: Asking, now: float) -> None:
+        decoded = config_versions.decode(request.body).and_then(
+            lambda value: config_versions.numbers(value).map(lambda versions: (value, versions)))
+        if isinstance(decoded, Err):
+            return self.registry.answer(request, error_reply(decoded.err_value.status, str(decoded.err_value)))
+        value, (version, base) = decoded.ok_value
+        request_digest, short_timeout = config_versions.digest(b"PATCH" + request.body), self._base_may_arrive(base)
+
+        def on_state(result: list) -> None:
+            if (cluster_state := result[0]) is None:
+                return self.registry.answer(request, error_reply(503, "no majority answered"))
+            if base != cluster_state["version"] or not cluster_state["digest"]:
+                # The state that was read does not allow this change, but the same request may have been agreed
+                # before: the store finds out by its record of requests.
+                return self._change(request, now, "put", [version, base, request_digest, ""])
+            self._with_content(request, now, cluster_state["digest"],
+                               lambda: apply_patch(cluster_state["digest"]), short_timeout)
+
+        def apply_patch(digest: str) -> None:
+            base_value = config_versions.decode(zlib.decompress(self.registry.contents[digest])).unwrap()
+            merged = config_versions.merge(base_value, value).and_then(
+                lambda merged_value: _validate(merged_value).map(lambda _: merged_value))
+            if isinstance(merged, Err):
+                return self.registry.answer(request, error_reply(merged.err_value.status, str(merged.err_value)))
+            self._propose_configuration(request, now, version, base, request_digest, merged.ok_value, short_timeout)
+
+        self.registry.send(self.registry.store_peer,
+                           ["read", self._add_pending_call(request, now, on_state, short_timeout)])
+
+    def _answer_from_newest(self, request: Asking, now: float, reply: Callable[[dict, bytes], Reply]) -> None:
+        """Reply by the state that a majority holds now, and its configuration as JSON."""
+        def on_state(result: list) -> None:
+            if (cluster_state := result[0]) is None:
+                return self.registry.answer(request, error_reply(503, "no majority answered"))
+            if not (digest := cluster_state["digest"]):
+                return self.registry.answer(request, error_reply(404, "there is no configuration yet"))
+            self._with_content(request, now, digest, lambda: self.registry.answer(
+                request, reply(cluster_state, zlib.decompress(self.registry.contents[digest]))))
+
+        self.registry.send(self.registry.store_peer, ["read", self._add_pending_call(request, now, on_state)])
+
+    def _call_get(self, request: Asking, now: float) -> None:
+        self._answer_from_newest(request, now, lambda cluster_state, configuration: Reply(200, raw=configuration))
+
+    # An evacuation carries no version: without the short timeout, a delayed one could undo a later restore.
+    def _call_evacuate(self, request: Asking, now: float) -> None:
+        self._change(request, now, "evacuate", [request.segment, True], short_timeout=True)
+
+    def _call_restore(self, request: Asking, now: float) -> None:
+        self._change(request, now, "evacuate", [request.segment, False], short_timeout=True)
+
+    # Recovery of a core that was lost for good
+
+    def _call_snapshot(self, request: Asking, now: float) -> None:
+        """All agreed state that has to outlast the core, as one JSON object."""
+        self._answer_from_newest(request, now, lambda cluster_state, configuration: Reply(200, {
+            "schema": SNAPSHOT_SCHEMA, **{name: cluster_state[name] for name in SNAPSHOT_FIELDS},
+            "floor": floor_of(upgrade(cluster_state)),
+            "configuration": config_versions.decode(configuration).unwrap()}))
+
+    def _call_revive(self, request: Asking, now: float) -> None:
+        """Restore a snapshot into a new core; a core that holds any configuration rejects it."""
+        decoded = config_versions.decode(request.body).and_then(config_versions.snapshot)
+        validated = decoded.and_then(lambda value: _validate(value["configuration"]))
+        if isinstance(validated, Err):
+            return self.registry.answer(request, error_reply(validated.err_value.status, str(validated.err_value)))
+        value = decoded.ok_value
         data = zlib.compress(config_versions.encode(value["configuration"]), 1)
-        self._change(asking, now, "revive", [value["version"], config_versions.digest(data), value["past"],
-                                             value["evac"], value.get("floor")], data)
-
-    # What there is
-
-    def _call_status(self, asking: Asking, now: float) -> None:
-        """The whole as this core machine sees it."""
-        desk, world = self.desk, self.desk.world
-        holder = desk.allocation.duty.holder
-        self.desk.answer(asking, Reply(200, {
-            "node": desk.me, "version": world.get("version", 0), "revision": world.get("rev", 0),
-            "voters": world.get("voters", {}), "before": world.get("before", {}), "ready": world.get("ready", {}),
-            "evacuated": world.get("evac", []), "term": world.get("term", 0),
-            "reckons": holder[1] if holder is not None and now - desk.allocation.duty.holder_at < SPAN else "",
-            "linked": sorted(desk.links), "in_touch": desk.in_touch(now),
-            "behind": sorted(m.ip for m in desk.members.known.values() if m.version < world.get("version", 0)),
-            "drains": sorted(id for id, b in desk.backends.known.items() if b.told.state == DRAINING),
-            "fronts": [m.pack(now) for m in desk.members.known.values()],
-            "backends": [[*b.now(now).pack(), b.lost] for b in desk.backends.known.values()]}))
-
-    def _call_parts(self, asking: Asking, now: float) -> None:
-        """Who holds which parts, told by who reckons them; elsewhere, where that is."""
-        desk, duty, allocator = self.desk, self.desk.allocation.duty, self.desk.allocation.allocator
+        self._change(request, now, "revive", [value["version"], config_versions.digest(data), value["past"],
+                                              value["evac"], value.get("floor")], data)
+
+    # Status
+
+    def _call_status(self, request: Asking, now: float) -> None:
+        """The state of the whole system as this core machine sees it."""
+        registry, cluster_state = self.registry, self.registry.cluster_state
+        holder = registry.allocation.duty.holder
+        self.registry.answer(request, Reply(200, {
+            "node": registry.node_ip, "version": cluster_state.get("version", 0),
+            "revision": cluster_state.get("rev", 0), "voters": cluster_state.get("voters", {}),
+            "before": cluster_state.get("before", {}), "ready": cluster_state.get("ready", {}),
+            "evacuated": cluster_state.get("evac", []), "term": cluster_state.get("term", 0),
+            "reckons": holder[1] if holder is not None and now - registry.allocation.duty.holder_at < SPAN else "",
+            "linked": sorted(registry.linked_registries), "in_touch": registry.has_quorum(now),
+            "behind": sorted(
+                m.ip for m in registry.members.known.values() if m.version < cluster_state.get("version", 0)),
+            "drains": sorted(id for id, b in registry.backends.by_id.items() if b.report.state == DRAINING),
+            "fronts": [m.pack(now) for m in registry.members.known.values()],
+            "backends": [[*b.current_report(now).pack(), b.is_lost] for b in registry.backends.by_id.values()]}))
+
+    def _call_parts(self, request: Asking, now: float) -> None:
+        """Which proxies hold which quota shares, from the allocator; other machines redirect to it."""
+        registry, duty, allocator = self.registry, self.registry.allocation.duty, self.registry.allocation.allocator
         if allocator is not None and duty.holds(now):
-            return desk.answer(asking, Reply(200, {"node": desk.me, **allocator.told(now)}))
-        if (holder := duty.holder) is None or now - duty.holder_at >= SPAN or holder[1] == desk.me:
-            return desk.answer(asking, fault(503, "nobody reckons parts"))
-        desk.answer(asking, Reply(307, {}, headers=[("Location", f"http://{holder[1]}:{desk.port}/api/parts")]))
+            return registry.answer(request, Reply(200, {"node": registry.node_ip, **allocator.told(now)}))
+        if (holder := duty.holder) is None or now - duty.holder_at >= SPAN or holder[1] == registry.node_ip:
+            return registry.answer(request, error_reply(503, "no machine allocates quota shares at present"))
+        registry.answer(request, Reply(307, {}, headers=[("Location", f"http://{holder[1]}:{registry.port}/api/parts")]))
--- a/fennelpoint/system/registry/pending_calls.py
+++ b/fennelpoint/system/registry/pending_calls.py
@@ -1,4 +1,4 @@
-"""What the registry's deciders hand to their program, and calls that wait."""
+"""Actions that the registry's state machine hands to its program, and calls whose replies are pending."""
 
 from __future__ import annotations
 
@@ -10,28 +10,34 @@
 
 @dataclass(slots=True)
 class Save:
-    """Backends as they are now, and ids that are no more: on disk before what comes after it goes out."""
+    """Store backends and delete forgotten ones, on disk before any later action is carried out.
+
+    Each row is a packed `BackendReport`.
+    """
 
     rows: list[list]
-    forgotten: list[str]
+    forgotten_ids: list[str]
 
 
 @dataclass(slots=True)
 class Answer:
-    asking: Asking
+    """Reply to an HTTP call."""
+
+    request: Asking
     reply: Reply
 
 
 @dataclass(slots=True)
-class Held:
-    """A call that waits: for a majority of core machines, or for the store."""
+class PendingCall:
+    """A call that waits for a majority of core machines or for the store; it fails with 503 at its deadline."""
 
-    asking: Asking
-    until: float
-    holders: set[str] = field(default_factory=set)
-    then: Callable[[list], None] | None = None
-    withdraw: bool = False      # the store is told once nobody waits any more
+    request: Asking
+    deadline: float
+    holders: set[str] = field(default_factory=set)  # IP addresses of machines that have stored the change
+    on_result: Callable[[list], None] | None = None
+    withdraw_if_abandoned: bool = False     # withdraw the change at the deadline, or once the caller has gone
 
 
-def fault(status: int, text: str) -> Reply:
+def error_reply(status: int, text: str) -> Reply:
+    """An error as JSON; a 503 tells the client to retry soon."""
     return Reply(status, {"error_message": text}, headers=[("Retry-After", "0.2")] if status == 503 else [])
--- a/fennelpoint/system/registry/program.py
+++ b/fennelpoint/system/registry/program.py
@@ -1,4 +1,4 @@
-"""The process of the registry: sockets and clock round `state_machine.Desk`."""
+"""The registry process: sockets, disk and clock for `state_machine.RegistryStateMachine`."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 from fennelpoint.system.events import Event, say
 from fennelpoint.system.http_server import Asking, Reply, Web
 from fennelpoint.system.mesh import Mesh, name
-from fennelpoint.system.registry.state_machine import Answer, Desk, Note, Save, Send
-from fennelpoint.system.registry.storage import Disk
+from fennelpoint.system.registry.state_machine import Answer, Note, RegistryStateMachine, Save, Send
+from fennelpoint.system.registry.storage import BackendStorage
 from fennelpoint.system.settings import Settings
 
-TICK = 0.05     # s
+TICK_S = 0.05
 
 
 class Program:
-    """Carries out what the decider says, in order."""
+    """Feeds events to the state machine and carries out its actions in order."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings) -> None:
         self.loop, self.settings = loop, settings
         listen = settings.listen_addresses
-        self.desk = Desk(settings.ip_address, settings.availability_zone, settings.region, settings.zones,
-                         settings.seeds, listen.control_plane[1], settings.rule_bounds, settings.heartbeat_s,
-                         secrets.randbits(40), settings.first_start, time.monotonic())
-        self.disk = Disk(settings.data_directory)
-        self.desk.restore(self.disk.rows, time.monotonic())
-        self.mesh = Mesh(loop, "roll", settings.ip_address, settings.internal_ports, self.take, self.linked,
-                         refused=self.refused)
-        self.web = Web(loop, self.call)
+        self.registry = RegistryStateMachine(
+            settings.ip_address, settings.availability_zone, settings.region, settings.zones, settings.seeds,
+            listen.control_plane[1], settings.rule_bounds, settings.heartbeat_s, secrets.randbits(40),
+            settings.first_start, time.monotonic())
+        self.storage = BackendStorage(settings.data_directory)
+        self.registry.restore(self.storage.rows, time.monotonic())
+        self.mesh = Mesh(loop, "roll", settings.ip_address, settings.internal_ports, self.on_message, self.on_link,
+                         refused=self.on_connection_refused)
+        self.web = Web(loop, self.on_call)
         self.stopped = loop.create_future()
 
     async def start(self) -> None:
@@ -43,50 +44,52 @@
         self._tick()
 
     def _tick(self) -> None:
-        self.loop.call_later(TICK, self._tick)
-        self.carry_out(self.desk.tick(time.monotonic()))
-        if self.desk.gone(time.monotonic()) and not self.stopped.done():
+        self.loop.call_later(TICK_S, self._tick)
+        self.execute(self.registry.tick(time.monotonic()))
+        if self.registry.is_shutdown_complete(time.monotonic()) and not self.stopped.done():
             self.stopped.set_result(None)
-        self.mesh.dial({*self.desk.others, name("writ", self.settings.ip_address)})
+        self.mesh.dial({*self.registry.other_registries, name("writ", self.settings.ip_address)})
 
-    def take(self, peer: str, message: list) -> None:
-        self.carry_out(self.desk.heard(peer, message, time.monotonic()))
+    def on_message(self, peer: str, message: list) -> None:
+        self.execute(self.registry.on_message(peer, message, time.monotonic()))
 
-    def linked(self, peer: str, up: bool) -> None:
-        self.carry_out(self.desk.linked(peer, up, time.monotonic()))
+    def on_link(self, peer: str, up: bool) -> None:
+        self.execute(self.registry.on_link(peer, up, time.monotonic()))
 
-    def refused(self, peer: str, dialled_at: float) -> None:
-        self.carry_out(self.desk.refused(peer, dialled_at, time.monotonic()))
+    def on_connection_refused(self, peer: str, dialled_at: float) -> None:
+        self.execute(self.registry.on_connection_refused(peer, dialled_at, time.monotonic()))
 
-    def call(self, asking: Asking) -> None:
+    def on_call(self, request: Asking) -> None:
         try:
-            self.carry_out(self.desk.call(asking, time.monotonic()))
+            self.execute(self.registry.on_call(request, time.monotonic()))
         except Exception as error:
-            say(Event.CRASHED, where=asking.call.name, reason=repr(error))
-            asking.answer(Reply(503))
+            say(Event.CRASHED, where=request.call.name, reason=repr(error))
+            request.answer(Reply(503))
 
-    def carry_out(self, actions: list) -> None:
+    def execute(self, actions: list) -> None:
+        """Carry out actions of the state machine, in their order."""
         for action in actions:
             match action:
                 case Send(to, message):
                     self.mesh.send(to, message)
-                case Save(rows, forgotten):
-                    self.disk.save(rows, forgotten)
-                case Answer(asking, reply):
-                    asking.answer(reply)
+                case Save(rows, forgotten_ids):
+                    self.storage.save(rows, forgotten_ids)
+                case Answer(request, reply):
+                    request.answer(reply)
                 case Note(event, fields):
                     say(Event[event], **fields)
                 case Violation(invariant, detail):
                     violations.record(invariant, detail)
 
     def reload(self, settings: Settings) -> None:
-        self.desk.seeds = settings.seeds
+        """Apply the settings that may change at run time."""
+        self.registry.seeds = settings.seeds
 
     def stop(self) -> None:
-        """Leave in order; the tick tells when that is done."""
-        self.carry_out(self.desk.leave(time.monotonic()))
+        """Begin a graceful shutdown; `stopped` is set at a tick once it is complete."""
+        self.execute(self.registry.begin_shutdown(time.monotonic()))
 
     def close(self) -> None:
         self.mesh.close()
-        self.disk.close()
+        self.storage.close()
         self.web.close()
--- a/fennelpoint/system/registry/state_machine.py
+++ b/fennelpoint/system/registry/state_machine.py
@@ -1,6 +1,7 @@
-"""The decider of the registry: calls from outside, news between core machines, lists and leases for fronts.
+"""The registry's state machine: heartbeats, operator calls, gossip, and lists and leases for proxies.
 
-Events with the time in, actions out.  A call that has to wait (for a majority, for the store) is kept by a token.
+It performs no I/O: each event comes with the current time and returns the actions to carry out.  A call that has to
+wait, for a majority of the core or for the local store, is kept under a token until its result arrives.
 """
 
 from __future__ import annotations
@@ -16,572 +17,626 @@
 from fennelpoint.system.mesh import ip_of, name
 from fennelpoint.system.registry.allocation_leader import MESSAGES, AllocationDuty
 from fennelpoint.system.registry.allocation_parameters import ColdBackends, Figures
-from fennelpoint.system.registry.backend_table import DRAINING, GONE, LOST_AFTER, READY, SPOKE, Backends, Told
+from fennelpoint.system.registry.backend_table import (
+    DRAINING,
+    GONE,
+    LOST_AFTER_HEARTBEATS,
+    READY,
+    REVIVAL_MAX_AGE_S,
+    BackendReport,
+    BackendTable,
+)
 from fennelpoint.system.registry.directory import FRESH, Directory, homes_by_host
 from fennelpoint.system.registry.leader_lease import SPAN, Duty
 from fennelpoint.system.registry.membership import Members
-from fennelpoint.system.registry.operator_handlers import Office
-from fennelpoint.system.registry.pending_calls import Answer, Held, Save, fault
-from fennelpoint.system.registry.quorum_check import Contact
+from fennelpoint.system.registry.operator_handlers import OperatorHandlers
+from fennelpoint.system.registry.pending_calls import Answer, PendingCall, Save, error_reply
+from fennelpoint.system.registry.quorum_check import QuorumCheck
 from fennelpoint.system.rendezvous_hashing import preference
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.throttle import Paced
 
-TTL = 2.0           # s that clients may hold an answer
-WAIT_DRAIN = 0.9    # s for a majority to hold a drain
-COLD_TILL_HEARD = 1.6   # beats that a backend off the disk counts as cold at most
-WHOLE_LIST_GOOD = 0.1   # s that the list for fronts that connect is used again: many come at once
-LIST_PAUSE = 0.04   # s between two changes of the list that go out to fronts
-GOSSIP = 0.6        # s between words on who was heard
-CALLS_END = 0.7     # of the time that we have to leave in, for calls to end
-WANT_AGAIN = 0.5    # s after which a content that has not come is asked for anew
-WAITS = 4.0         # s that a word waits for a content: whoever asked asks anew
-FORGET = 60.0       # s without a word after which a front is forgotten
-READ_PAUSE = 0.15   # s between the beginnings of two reads for fronts, whose leases last for seconds
-READ_AGAIN = 0.7    # s after which a read that got no answer is asked for anew
-LATE = 1.7          # beats that nobody heard: the next one is told at once
-DOUBT, DOUBT_AGAIN = 2.4, 0.7   # beats after which the others are asked who heard it; s until they are asked again
-
-
-class Desk:
-    """One core machine's part of the registry."""
-
-    def __init__(self, me: str, zone: str, region: str, regions: dict[str, str], seeds: list[str], port: int,
-                 bounds: Bounds, beat: float, life: int, first: bool, now: float) -> None:
-        self.me, self.zone, self.region, self.regions, self.port = me, zone, region, regions, port
-        self.bounds, self.beat, self.life, self.born = bounds, beat, life, now
+DIRECTORY_TTL_S = 2.0           # how long clients may cache an answer of the directory
+DRAIN_ACK_TIMEOUT_S = 0.9       # for a majority to store a drain
+RESTORED_COLD_HEARTBEATS = 1.6  # for how long a backend that was restored from disk counts as cold at most
+FULL_LIST_CACHE_S = 0.1         # the list for new proxies is reused for so long: many connect at the same time
+LIST_UPDATE_INTERVAL_S = 0.04   # between two list updates to proxies
+GOSSIP_INTERVAL_S = 0.6
+PENDING_CALLS_SHUTDOWN_RATIO = 0.7  # of the time for the shutdown, for pending calls to complete
+CONTENT_RETRY_S = 0.5           # after which a configuration that has not arrived is requested again
+CONTENT_WAIT_S = 4.0            # for which a callback waits for a configuration: its requester asks again by itself
+PROXY_RETENTION_S = 60.0        # after which a proxy that has not been heard from is forgotten
+READ_INTERVAL_S = 0.15          # between the starts of two reads for proxies, whose leases last for seconds
+READ_TIMEOUT_S = 0.7            # after which an unanswered read is started again
+LATE_HEARTBEATS = 1.7           # a heartbeat after a gap of this many intervals is replicated at once
+# A backend is suspect after so many silent intervals: the other registries are asked whether they have heard from it.
+SUSPECT_HEARTBEATS, SUSPECT_QUERY_INTERVAL_S = 2.4, 0.7
+
+
+class RegistryStateMachine:
+    """The registry of one core machine.
+
+    Times are seconds on its steady clock.  `region_of_zone` maps zones to regions; `seeds` are the IP addresses of
+    the initial core machines; `heartbeat_s` is the heartbeat interval of backends.
+    """
+
+    def __init__(self, node_ip: str, zone: str, region: str, region_of_zone: dict[str, str], seeds: list[str],
+                 port: int, bounds: Bounds, heartbeat_s: float, incarnation: int, is_first_start: bool,
+                 now: float) -> None:
+        self.node_ip, self.zone, self.region, self.region_of_zone, self.port = (
+            node_ip, zone, region, region_of_zone, port)
+        self.bounds, self.heartbeat_s, self.incarnation, self.started_at = bounds, heartbeat_s, incarnation, now
         self.seeds = seeds
-        self.store = name("writ", me)
-        self.backends, self.members = Backends(), Members()
-        self.world: dict = {}
-        self.contents: dict[str, bytes] = {}    # by digest, packed
-        self.wants: dict[str, list[tuple[float, Callable[[], None]]]] = {}  # what waits for a content, and since when
-        self.want_at = now      # when the newest content is asked for again, while it is not here
-        self.fronts: dict[str, int] = {}        # that are connected, and the number each one has heard of
-        self.number = 0         # of the newest change of the list
-        self.changes = Paced(LIST_PAUSE)        # ids whose changes go out to fronts together
-        self.whole_list: list = []      # for fronts that connect, as it was a moment ago
-        self.whole_list_until = now
-        self.calls: dict[int, Held] = {}
-        self.tokens = first_number(life)
-        self.helpers: dict[str, str] = {}       # fronts that are cut off from here, and who passes words on for them
-        self.told_fronts: list[str] = []
-        self.about: dict[str, dict] = {}        # what fronts that are connected said of themselves
-        self.cold = ColdBackends(bounds, regions)
-        # A first start: nothing was granted before.
-        duty = Duty(me, now if first else now + SPAN, first_number(life))
-        self.allocation = AllocationDuty(self, duty, self.cold)
-        self.read_at = -1e9     # when the newest read that ended began
-        self.asks: list[tuple[str, float, float]] = []   # wait for the next read
-        self.read_begun = -1e9
-        self.reading: tuple[int, float, list] | None = None
-        self.gossip_at = self.sweep_at = now
-        self.news: set[str] = set()             # ids heard here since the last word to others
-        self.doubted: set[str] = set()          # ids that a front counts as lost: it is told when one speaks
-        self.links: set[str] = set()            # core machines whose registry is connected
-        self.contact = Contact(me, now)
-        self.whole_since: float | None = None   # since when we are in touch with a majority
-        self.doubt_at = now
-        self.out: list = []
-        self.office = Office(self)
-        self.directory = Directory(me, self.members, min(TTL, bounds.ttl_max_s), bounds.grace_period_s, now)
+        self.store_peer = name("writ", node_ip)
+        self.backends, self.members = BackendTable(), Members()
+        self.cluster_state: dict = {}           # the newest agreed value that is known here
+        self.contents: dict[str, bytes] = {}    # compressed configurations by digest
+        # Callbacks that wait for a configuration, by its digest, each with the time since when it waits.
+        self.content_waiters: dict[str, list[tuple[float, Callable[[], None]]]] = {}
+        self.next_content_request_at = now      # while the newest configuration is missing here
+        self.connected_proxies: dict[str, int] = {}     # with the list number that each has acknowledged
+        self.list_number = 0                    # of the newest list update
+        self.pending_changes = Paced(LIST_UPDATE_INTERVAL_S)    # ids whose changes go out in one list update
+        self.full_list: list = []               # cached for proxies that connect
+        self.full_list_valid_until = now
+        self.pending_calls: dict[int, PendingCall] = {}     # by token
+        self.last_token = first_number(incarnation)
+        self.relays: dict[str, str] = {}        # for proxies that can't reach this machine: the peer that relays
+        self.announced_proxies: list[str] = []  # the ready proxies, as last sent to proxies
+        self.proxy_info: dict[str, dict] = {}   # of connected proxies, as they described themselves
+        self.cold_backends = ColdBackends(bounds, region_of_zone)
+        # On the very first start of the system no earlier process can hold a grant, so there is no lease to wait out.
+        duty = Duty(node_ip, now if is_first_start else now + SPAN, first_number(incarnation))
+        self.allocation = AllocationDuty(self, duty, self.cold_backends)
+        self.state_confirmed_at = -1e9          # start of the newest read that completed
+        self.lease_requests: list[tuple[str, float, int]] = []  # proxy, arrival and number; served by the next read
+        self.last_read_started_at = -1e9
+        self.current_read: tuple[int, float, list] | None = None    # token, deadline and the requests that it serves
+        self.next_gossip_at = self.next_sweep_at = now
+        self.recently_heard_ids: set[str] = set()   # backends that sent heartbeats here since the last gossip
+        self.reported_lost_ids: set[str] = set()    # that a proxy counts as lost: it needs an update once one beats
+        self.linked_registries: set[str] = set()    # IP addresses of core machines whose registry is connected
+        self.quorum_check = QuorumCheck(node_ip, now)
+        self.quorum_since: float | None = None  # since when there is contact with a majority; None: there is none
+        self.next_suspect_query_at = now
+        self.actions: list = []
+        self.operator_handlers = OperatorHandlers(self)
+        self.directory = Directory(node_ip, self.members, min(DIRECTORY_TTL_S, bounds.ttl_max_s),
+                                   bounds.grace_period_s, now)
         self.leaving = Leaving(within(bounds.grace_period_s))
 
     def restore(self, rows: list[list], now: float) -> None:
-        """What was on disk when this process started."""
-        self.backends.restore(rows, COLD_TILL_HEARD * self.beat, now)
+        """Load the backends that were on disk when this process started."""
+        self.backends.restore(rows, RESTORED_COLD_HEARTBEATS * self.heartbeat_s, now)
 
     # Events
 
-    def heard(self, peer: str, message: list, now: float) -> list:
-        self._woke(now)
+    def on_message(self, peer: str, message: list, now: float) -> list:
+        """Handle a message from a peer; messages of unknown kinds are ignored."""
+        self._check_for_pause(now)
         kind, *rest = message
-        self.helpers.pop(peer, None)    # it speaks for itself
-        do = getattr(self.allocation, f"on_{kind}") if kind in MESSAGES else getattr(self, f"_on_{kind}", None)
-        if do is not None:
-            do(peer, now, *rest)
-        return self._done()
-
-    def leave(self, now: float) -> list:
-        """SIGTERM: hand over what is known here alone, and the duty; calls that wait have a while to end in."""
+        self.relays.pop(peer, None)     # it reaches this machine directly again
+        handler = getattr(self.allocation, f"on_{kind}") if kind in MESSAGES else getattr(self, f"_on_{kind}", None)
+        if handler is not None:
+            handler(peer, now, *rest)
+        return self._take_actions()
+
+    def begin_shutdown(self, now: float) -> list:
+        """On SIGTERM: gossip what only this machine knows and resign from allocation; pending calls may complete."""
         if not self.leaving:
             self.leaving.begin(now)
-            self.out.append(Note("STOP", {"node": self.me}))
-            for held in self.calls.values():
-                held.until = min(held.until, now + CALLS_END * self.leaving.most)
+            self.actions.append(Note("STOP", {"node": self.node_ip}))
+            for pending in self.pending_calls.values():
+                pending.deadline = min(pending.deadline, now + PENDING_CALLS_SHUTDOWN_RATIO * self.leaving.most)
             self.allocation.resign()
             self.allocation.tick(now, claims=False)
             self._gossip(now)
-        return self._done()
+        return self._take_actions()
 
-    def gone(self, now: float) -> bool:
-        """Whether nothing keeps this process any more."""
-        if self.calls:
+    def is_shutdown_complete(self, now: float) -> bool:
+        """Whether the process may exit now."""
+        if self.pending_calls:
             self.leaving.busy(now)
         return self.leaving.over(now)
 
-    def call(self, asking: Asking, now: float) -> list:
+    def on_call(self, request: Asking, now: float) -> list:
+        """Handle an HTTP call; the reply may come at any later time."""
         if self.leaving:
-            self.answer(asking, fault(503, "this machine leaves"))
-            return self._done()
-        self._woke(now)
-        if self.contact.late(now) and asking.call.name != "status":
-            self.answer(asking, fault(503, "this machine stood still, and the call may be old"))
-            return self._done()
-        place = self if asking.call.name in ("beat", "leave", "resolve") else self.office
-        getattr(place, f"_call_{asking.call.name}")(asking, now)
-        return self._done()
-
-    def linked(self, peer: str, up: bool, now: float) -> list:
-        """A connection to or from a peer came up or went down."""
-        self._woke(now)
+            self.answer(request, error_reply(503, "this machine is shutting down"))
+            return self._take_actions()
+        self._check_for_pause(now)
+        if self.quorum_check.possible_delay_s(now) and request.call.name != "status":
+            self.answer(request, error_reply(503, "this machine was paused, and the call may be stale"))
+            return self._take_actions()
+        handlers = self if request.call.name in ("beat", "leave", "resolve") else self.operator_handlers
+        getattr(handlers, f"_call_{request.call.name}")(request, now)
+        return self._take_actions()
+
+    def on_link(self, peer: str, up: bool, now: float) -> list:
+        """Handle a connection to or from a peer that came up or went down."""
+        self._check_for_pause(now)
         if peer.startswith("roll@"):
-            self.links.add(ip_of(peer)) if up else self.links.discard(ip_of(peer))
+            self.linked_registries.add(ip_of(peer)) if up else self.linked_registries.discard(ip_of(peer))
         if peer.startswith("roll@") and up:
             self.members.tell_all_again()
             self.send(peer, ["probe", int(now * 1000)])
-            items = [b.now(now).pack() for b in self.backends.known.values()]
+            items = [b.current_report(now).pack() for b in self.backends.by_id.values()]
             if items:
                 self.send(peer, ["backends", 0, items])
         elif peer.startswith("span@"):
             if not up:
-                passed = [f for f, helper in self.helpers.items() if helper == peer]
-                for front in passed if peer in self.helpers else [peer, *passed]:
-                    self.fronts.pop(front, None)
-                    self.about.pop(front, None)
-                    self.helpers.pop(front, None)
-        elif peer == self.store and up:
+                relayed = [proxy for proxy, relay in self.relays.items() if relay == peer]
+                for proxy in relayed if peer in self.relays else [peer, *relayed]:
+                    self.connected_proxies.pop(proxy, None)
+                    self.proxy_info.pop(proxy, None)
+                    self.relays.pop(proxy, None)
+        elif peer == self.store_peer and up:
             self.allocation.store_restarted(now)
-            if self.reading is not None:    # it did not hear of it: those that wait need not ask again
-                self.asks, self.reading = self.reading[2] + self.asks, None
-            self._read(now, own=self.allocation.allocator is not None)
-        return self._done()
-
-    def refused(self, peer: str, dialled_at: float, now: float) -> list:
-        """A machine says that no process listens at a peer's address, to a connection dialled at that time."""
-        if peer.startswith("roll@") and not self.contact.late(now):
+            # The restarted store has lost the read: start it anew, so that proxies need not repeat their requests.
+            if self.current_read is not None:
+                self.lease_requests, self.current_read = self.current_read[2] + self.lease_requests, None
+            self._start_read(now, own=self.allocation.allocator is not None)
+        return self._take_actions()
+
+    def on_connection_refused(self, peer: str, dialled_at: float, now: float) -> list:
+        """Handle a refused connection, dialled at `dialled_at`: no process listens at the peer's address."""
+        if peer.startswith("roll@") and not self.quorum_check.possible_delay_s(now):
             self.allocation.duty.ended(ip_of(peer), dialled_at, now)
-        return self._done()
+        return self._take_actions()
 
     def tick(self, now: float) -> list:
-        self._woke(now)
-        for token, held in list(self.calls.items()):
-            if now >= held.until or held.asking.gone:
-                del self.calls[token]
-                if held.withdraw:
-                    self.send(self.store, ["withdraw", token])
-                self.answer(held.asking, fault(503, "no majority answers"))
-        if self.reading is not None and now >= self.reading[1]:
-            asks, self.reading = self.reading[2], None
-            self.asks = [a for a in asks + self.asks if now - a[1] < 2.0]
-            self._read(now)
-        if now >= self.want_at and self.world and self.world["digest"] not in ("", *self.contents):
-            self.want_at = now + WANT_AGAIN
-            self.send(self.store, ["want", self.world["digest"]])
+        """Run all timers that have expired; to be called several times a second."""
+        self._check_for_pause(now)
+        for token, pending in list(self.pending_calls.items()):
+            if now >= pending.deadline or pending.request.gone:
+                del self.pending_calls[token]
+                if pending.withdraw_if_abandoned:
+                    self.send(self.store_peer, ["withdraw", token])
+                self.answer(pending.request, error_reply(503, "no majority answered in time"))
+        if self.current_read is not None and now >= self.current_read[1]:
+            lease_requests, self.current_read = self.current_read[2], None
+            self.lease_requests = [
+                waiting for waiting in lease_requests + self.lease_requests if now - waiting[1] < 2.0]
+            self._start_read(now)
+        if (now >= self.next_content_request_at and self.cluster_state
+                and self.cluster_state["digest"] not in ("", *self.contents)):
+            self.next_content_request_at = now + CONTENT_RETRY_S
+            self.send(self.store_peer, ["want", self.cluster_state["digest"]])
         self.allocation.tick(now, claims=not self.leaving)
-        self._read(now)
-        self._tell_fronts(self.changes.due(now), now)
-        if now >= self.gossip_at:
-            self.gossip_at = now + GOSSIP
+        self._start_read(now)
+        self._send_changes(self.pending_changes.due(now), now)
+        if now >= self.next_gossip_at:
+            self.next_gossip_at = now + GOSSIP_INTERVAL_S
             self._gossip(now)
-        if now >= self.sweep_at:
-            self.sweep_at = now + 0.25
-            self._forget(now)
-            self.out += self.directory.notes(now)
-            # Guards against an outage made by ourselves: who hears no majority, or has just begun to, has not
-            # heard of many that live.
-            if not self.in_touch(now):
-                if self.whole_since is not None:
-                    self.out.append(Note("CUT_OFF", {"node": self.me}))
-                self.whole_since = None
-            elif self.whole_since is None:
-                self.whole_since = now
-                self.out.append(Note("IN_TOUCH", {"node": self.me}))
-            elif now - self.whole_since > 4.0 * self.beat:
-                self._doubt(now)
-                lost, forgotten = self.backends.sweep(now, self.beat)
-                self._push([b.told.id for b in lost], now)
+        if now >= self.next_sweep_at:
+            self.next_sweep_at = now + 0.25
+            self._expire(now)
+            self.actions += self.directory.notes(now)
+            # Declares no backends lost without a majority, or just after contact with one: gossip about many live
+            # backends has not arrived here then, and marking them as lost would cause an outage.
+            if not self.has_quorum(now):
+                if self.quorum_since is not None:
+                    self.actions.append(Note("CUT_OFF", {"node": self.node_ip}))
+                self.quorum_since = None
+            elif self.quorum_since is None:
+                self.quorum_since = now
+                self.actions.append(Note("IN_TOUCH", {"node": self.node_ip}))
+            elif now - self.quorum_since > 4.0 * self.heartbeat_s:
+                self._query_suspects(now)
+                lost, forgotten = self.backends.sweep(now, self.heartbeat_s)
+                self._publish([b.report.id for b in lost], now)
                 if lost:
-                    self.out.append(Note("LOST", {"ids": ", ".join(b.told.id for b in lost)}))
+                    self.actions.append(Note("LOST", {"ids": ", ".join(b.report.id for b in lost)}))
                 if forgotten:
-                    self.doubted.difference_update(forgotten)
-                    self.out.append(Save([], forgotten))
-        return self._done()
+                    self.reported_lost_ids.difference_update(forgotten)
+                    self.actions.append(Save([], forgotten))
+        return self._take_actions()
 
-    def _woke(self, now: float) -> None:
-        """Guards against what is due or was asked before this process stood still: others have gone on without it."""
-        if not self.contact.woke(now):
+    def _check_for_pause(self, now: float) -> None:
+        """After a pause of this process, drop calls and requests from before it: others have moved on meanwhile."""
+        if not self.quorum_check.detect_pause(now):
             return
-        if self.whole_since is not None:
-            self.out.append(Note("CUT_OFF", {"node": self.me}))
-        self.whole_since = None
-        self.news.clear()
-        self.asks.clear()
-        for held in self.calls.values():
-            self.answer(held.asking, fault(503, "this machine stood still"))
-        self.calls.clear()
-        for peer in self.others:
+        if self.quorum_since is not None:
+            self.actions.append(Note("CUT_OFF", {"node": self.node_ip}))
+        self.quorum_since = None
+        self.recently_heard_ids.clear()
+        self.lease_requests.clear()
+        for pending in self.pending_calls.values():
+            self.answer(pending.request, error_reply(503, "this machine was paused"))
+        self.pending_calls.clear()
+        for peer in self.other_registries:
             self.send(peer, ["probe", int(now * 1000)])
 
-    def _forget(self, now: float) -> None:
-        """Guards the memory: fronts that are no more, and words that wait for a content that nobody has any more."""
-        for ip in [m.ip for m in self.members.known.values() if now - m.heard > FORGET]:
+    def _expire(self, now: float) -> None:
+        """Bound memory: forget silent proxies, and callbacks for configurations that no machine has any more."""
+        for ip in [m.ip for m in self.members.known.values() if now - m.heard > PROXY_RETENTION_S]:
             self.members.forget(ip)
-        for digest, waits in list(self.wants.items()):
-            self.wants[digest] = [one for one in waits if now - one[0] < WAITS]
-            if not self.wants[digest]:
-                del self.wants[digest]
+        for digest, waiters in list(self.content_waiters.items()):
+            self.content_waiters[digest] = [waiter for waiter in waiters if now - waiter[0] < CONTENT_WAIT_S]
+            if not self.content_waiters[digest]:
+                del self.content_waiters[digest]
 
-    def _done(self) -> list:
-        out, self.out = self.out, []
-        return out
+    def _take_actions(self) -> list:
+        actions, self.actions = self.actions, []
+        return actions
 
     def send(self, to: str, message: list) -> None:
-        if (helper := self.helpers.get(to)) is not None:
-            to, message = helper, ["passed", ip_of(to), message]
-        self.out.append(Send(to, message))
+        """Send a message to a peer, by its relay if it has one."""
+        if (relay := self.relays.get(to)) is not None:
+            to, message = relay, ["passed", ip_of(to), message]
+        self.actions.append(Send(to, message))
 
-    def answer(self, asking: Asking, reply: Reply) -> None:
-        self.out.append(Answer(asking, reply))
+    def answer(self, request: Asking, reply: Reply) -> None:
+        self.actions.append(Answer(request, reply))
 
-    # Members of the core
+    # Core membership
 
     @property
-    def core(self) -> dict[str, str]:
-        """Core machines that are known, zones by IP address."""
-        if not self.world:
+    def core_zones(self) -> dict[str, str]:
+        """Zones of the known core machines, by IP address."""
+        if not self.cluster_state:
             return {ip: "" for ip in self.seeds}
-        return {**self.world["ready"], **self.world["voters"]}
+        return {**self.cluster_state["ready"], **self.cluster_state["voters"]}
 
     @property
-    def others(self) -> list[str]:
-        return [name("roll", ip) for ip in sorted(self.core) if ip != self.me]
+    def other_registries(self) -> list[str]:
+        """Peer names of the registries of all other core machines."""
+        return [name("roll", ip) for ip in sorted(self.core_zones) if ip != self.node_ip]
 
-    def majority(self, holders: set[str]) -> bool:
-        voters = self.world["voters"] if self.world else {ip: "" for ip in self.seeds}
+    def is_majority(self, holders: set[str]) -> bool:
+        """Whether these IP addresses include a majority of the voters."""
+        voters = self.cluster_state["voters"] if self.cluster_state else {ip: "" for ip in self.seeds}
         return len(holders & voters.keys()) > len(voters) // 2
 
-    # Contact
+    # Quorum
 
-    def in_touch(self, now: float) -> bool:
-        """Whether what is acknowledged here can be told to a majority."""
-        return self.contact.in_touch(self.majority, now)
+    def has_quorum(self, now: float) -> bool:
+        """Whether a change that is acknowledged here can reach a majority of the voters."""
+        return self.quorum_check.has_quorum(self.is_majority, now)
 
-    def _on_probe(self, peer: str, now: float, stamp: int) -> None:
-        self.send(peer, ["echo", stamp])
+    def _on_probe(self, peer: str, now: float, stamp_ms: int) -> None:
+        self.send(peer, ["echo", stamp_ms])
 
-    def _on_echo(self, peer: str, now: float, stamp: int) -> None:
-        self.contact.echo(ip_of(peer), stamp, now)
+    def _on_echo(self, peer: str, now: float, stamp_ms: int) -> None:
+        self.quorum_check.on_echo(ip_of(peer), stamp_ms, now)
 
-    def _told(self, item: list, now: float) -> Told:
-        """News of a backend; it may have waited here."""
-        told = Told(*item)
-        told.age += self.contact.late(now)
-        return told
+    def _unpack_report(self, item: list, now: float) -> BackendReport:
+        """Decode a report on a backend; the time that it may have waited in receive buffers adds to its age."""
+        report = BackendReport(*item)
+        report.age_s += self.quorum_check.possible_delay_s(now)
+        return report
 
     # Backends
 
-    def _call_beat(self, asking: Asking, now: float) -> None:
+    def _call_beat(self, request: Asking, now: float) -> None:
         try:
-            value = config_versions.json.loads(asking.body)
+            value = config_versions.json.loads(request.body)
             info, status = value["information"], value["status"]
-            told = Told(asking.segment, str(value["address"]), str(info["service"]),
-                        str(info["availability_zone"]), int(info["free_slots"]), str(info.get("version", "")),
-                        DRAINING if status["state"] == DRAINING else READY, int(status["sequence"]),
-                        max(0.0, float(status.get("cold_remaining_s") or 0.0)))
+            report = BackendReport(
+                request.segment, str(value["address"]), str(info["service"]), str(info["availability_zone"]),
+                int(info["free_slots"]), str(info.get("version", "")),
+                DRAINING if status["state"] == DRAINING else READY, int(status["sequence"]),
+                max(0.0, float(status.get("cold_remaining_s") or 0.0)))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            return self.answer(asking, fault(400, f"the beat can't be read: {error!r}"))
-        old = self.backends.known.get(told.id)
-        missed = old is not None and now - old.heard > LATE * self.beat
-        changed = self.backends.fold(told, now) or told.id in self.doubted
-        self.news.add(told.id)
+            return self.answer(request, error_reply(400, f"invalid heartbeat: {error!r}"))
+        old = self.backends.by_id.get(report.id)
+        was_silent = old is not None and now - old.heard_at > LATE_HEARTBEATS * self.heartbeat_s
+        changed = self.backends.merge(report, now) or report.id in self.reported_lost_ids
+        self.recently_heard_ids.add(report.id)
         body = {}
-        if (nearest := self._nearest(told.id, told.zone, now)) is not None:
-            body["heartbeat_address"] = f"{nearest}:{self.port}"
+        if (nearest_ip := self._nearest_core_machine(report.id, report.zone, now)) is not None:
+            body["heartbeat_address"] = f"{nearest_ip}:{self.port}"
         if changed:
-            self._push([told.id], now)
-        if told.state == DRAINING:
+            self._publish([report.id], now)
+        if report.state == DRAINING:
             if changed:
-                self.out.append(Note("DRAINS", {"id": told.id, "by": "itself"}))
-            return self._spread(asking, [told.id], now, Reply(200, body))
-        if changed or missed:
-            self._share([told.id], now, 0)
-        # What is true is told on, but nobody hears it for sure: the backend is to call where it is heard.
-        self.answer(asking, Reply(200, body) if self.in_touch(now) else fault(503, "no majority hears this machine"))
-
-    def _call_leave(self, asking: Asking, now: float) -> None:
-        old = self.backends.known.get(asking.segment)
-        told = old.now(now) if old is not None else Told(asking.segment, "", "", "", 0, "", GONE, 0, 0.0)
-        told.state, told.seq, told.age = GONE, told.seq + 1, 0.0
-        if self.backends.fold(told, now):
-            self.out.append(Note("GONE", {"id": told.id}))
-            self._push([told.id], now)
-        self._spread(asking, [told.id], now, Reply(200, {}))
-
-    def _nearest(self, backend: str, zone: str, now: float) -> str | None:
-        """The core machine in touch that a backend of that zone does best to call; each has one of its own."""
-        region = self.regions.get(zone)
-        core = {ip: z for ip, z in self.core.items() if (
-            self.in_touch(now) if ip == self.me else self.contact.believed(ip, now))}
-        same = [ip for ip, z in core.items() if z == zone]
-        near = [ip for ip, z in core.items() if self.regions.get(z) == region]
-        return min(same or near, key=lambda ip: preference(backend, ip), default=None)
-
-    def _spread(self, asking: Asking, ids: list[str], now: float, reply: Reply) -> None:
-        """Answer once a majority of the core holds it: that is proof of contact by itself."""
-        if not self.in_touch(now) and not self.majority({self.me, *self.links}):
-            self._share(ids, now, 0)
-            return self.answer(asking, fault(503, "no majority hears this machine"))
-        self.tokens += 1
-        token = self.tokens
-        held = self.calls[token] = Held(asking, now + WAIT_DRAIN, {self.me})
-        held.then = lambda _: self.answer(asking, reply)
-        self._share(ids, now, token)
-        self._held(token)
-
-    def _held(self, token: int) -> None:
-        if (held := self.calls.get(token)) is not None and self.majority(held.holders):
-            del self.calls[token]
-            held.then([])
-
-    def _share(self, ids: list[str], now: float, token: int) -> None:
-        items = [self.backends.known[id].now(now).pack() for id in ids if id in self.backends.known]
-        for peer in self.others:
+                self.actions.append(Note("DRAINS", {"id": report.id, "by": "itself"}))
+            return self._answer_after_majority(request, [report.id], now, Reply(200, body))
+        if changed or was_silent:
+            self._replicate([report.id], now, 0)
+        # Without a majority the report is replicated all the same, but may reach nobody: 503 sends the backend to
+        # another core machine.
+        self.answer(request, Reply(200, body) if self.has_quorum(now) else
+                    error_reply(503, "this machine has no contact with a majority"))
+
+    def _call_leave(self, request: Asking, now: float) -> None:
+        old = self.backends.by_id.get(request.segment)
+        report = old.current_report(now) if old is not None else BackendReport(
+            request.segment, "", "", "", 0, "", GONE, 0, 0.0)
+        report.state, report.sequence, report.age_s = GONE, report.sequence + 1, 0.0
+        if self.backends.merge(report, now):
+            self.actions.append(Note("GONE", {"id": report.id}))
+            self._publish([report.id], now)
+        self._answer_after_majority(request, [report.id], now, Reply(200, {}))
+
+    def _nearest_core_machine(self, backend: str, zone: str, now: float) -> str | None:
+        """The IP address of the core machine with a quorum that is best for a backend of that zone.
+
+        Rendezvous hashing spreads the backends of a zone over its core machines.
+        """
+        region = self.region_of_zone.get(zone)
+        candidates = {ip: z for ip, z in self.core_zones.items() if (
+            self.has_quorum(now) if ip == self.node_ip else self.quorum_check.is_trusted(ip, now))}
+        same_zone = [ip for ip, z in candidates.items() if z == zone]
+        same_region = [ip for ip, z in candidates.items() if self.region_of_zone.get(z) == region]
+        return min(same_zone or same_region, key=lambda ip: preference(backend, ip), default=None)
+
+    def _answer_after_majority(self, request: Asking, ids: list[str], now: float, reply: Reply) -> None:
+        """Replicate these backends, and reply once a majority has stored them, which itself proves a quorum."""
+        if not self.has_quorum(now) and not self.is_majority({self.node_ip, *self.linked_registries}):
+            self._replicate(ids, now, 0)
+            return self.answer(request, error_reply(503, "this machine has no contact with a majority"))
+        self.last_token += 1
+        token = self.last_token
+        pending = self.pending_calls[token] = PendingCall(request, now + DRAIN_ACK_TIMEOUT_S, {self.node_ip})
+        pending.on_result = lambda _: self.answer(request, reply)
+        self._replicate(ids, now, token)
+        self._finish_if_majority(token)
+
+    def _finish_if_majority(self, token: int) -> None:
+        if (pending := self.pending_calls.get(token)) is not None and self.is_majority(pending.holders):
+            del self.pending_calls[token]
+            pending.on_result([])
+
+    def _replicate(self, ids: list[str], now: float, token: int) -> None:
+        items = [self.backends.by_id[id].current_report(now).pack() for id in ids if id in self.backends.by_id]
+        for peer in self.other_registries:
             self.send(peer, ["backends", token, items])
 
     def _on_backends(self, peer: str, now: float, token: int, items: list) -> None:
-        changed = [item[0] for item in items if self.backends.fold(self._told(item, now), now)]
+        changed = [item[0] for item in items if self.backends.merge(self._unpack_report(item, now), now)]
         if changed:
-            self._push(changed, now)
+            self._publish(changed, now)
         if token:
             self.send(peer, ["hold", token])
 
     def _on_hold(self, peer: str, now: float, token: int) -> None:
-        if (held := self.calls.get(token)) is not None:
-            held.holders.add(ip_of(peer))
-            self._held(token)
+        if (pending := self.pending_calls.get(token)) is not None:
+            pending.holders.add(ip_of(peer))
+            self._finish_if_majority(token)
 
     def _gossip(self, now: float) -> None:
-        """Who was heard here: backends by id, fronts whole where something of them changed."""
-        whole, brief = self.members.gossip(now, FRESH)
-        news, self.news = sorted(self.news), set()
-        fronts = sorted(m.ip for m in self.members.ready(now, FRESH))
-        if fronts != self.told_fronts:
-            self.told_fronts = fronts
-            for front in self.fronts:
-                self.send(front, ["fronts", fronts])
-        sure = self.in_touch(now)
-        # A newcomer that is connected hears it, too: until a change that names it is agreed nobody else knows of it.
-        for peer in sorted({*self.others, *(name("roll", ip) for ip in self.links)}):
-            self.send(peer, ["heard", news, whole, brief, self.contact.word(ip_of(peer), sure, now)])
-
-    def _on_heard(self, peer: str, now: float, news: list, whole: list, brief: list, word: list) -> None:
-        self.contact.heard(ip_of(peer), *word, now)
-        late = self.contact.late(now)
-        if unknown := [id for id in news if id not in self.backends.known]:
-            self.send(peer, ["heard_of", unknown])  # its first word went out before we were known as a member
-        revived = [id for id in news if self.backends.fresh(id, late, now) or id in self.doubted]
+        """Send the other registries the ids of backends heard here, and proxies: in full where their state is new."""
+        full, digests = self.members.gossip(now, FRESH)
+        heard_ids, self.recently_heard_ids = sorted(self.recently_heard_ids), set()
+        ready_proxies = sorted(m.ip for m in self.members.ready(now, FRESH))
+        if ready_proxies != self.announced_proxies:
+            self.announced_proxies = ready_proxies
+            for proxy in self.connected_proxies:
+                self.send(proxy, ["fronts", ready_proxies])
+        in_quorum = self.has_quorum(now)
+        # Includes connected registries that are not members yet: the change that adds one may not be agreed so far.
+        for peer in sorted({*self.other_registries, *(name("roll", ip) for ip in self.linked_registries)}):
+            self.send(peer, ["heard", heard_ids, full, digests,
+                             self.quorum_check.gossip_header(ip_of(peer), in_quorum, now)])
+
+    def _on_heard(self, peer: str, now: float, heard_ids: list, full: list, digests: list, header: list) -> None:
+        self.quorum_check.on_gossip(ip_of(peer), *header, now)
+        delay = self.quorum_check.possible_delay_s(now)
+        if unknown := [id for id in heard_ids if id not in self.backends.by_id]:
+            # The first report on it was sent before the sender knew this machine as a member.
+            self.send(peer, ["heard_of", unknown])
+        revived = [id for id in heard_ids if self.backends.refresh(id, delay, now) or id in self.reported_lost_ids]
         if revived:
-            self.out.append(Note("FOUND", {"ids": ", ".join(revived)}))
-            self._push(revived, now)
-        if unknown := self.members.take(whole, brief, late, now):
+            self.actions.append(Note("FOUND", {"ids": ", ".join(revived)}))
+            self._publish(revived, now)
+        if unknown := self.members.take(full, digests, delay, now):
             self.send(peer, ["fronts_of", unknown])
 
     def _on_fronts_of(self, peer: str, now: float, numbers: list) -> None:
-        """What we told of these fronts was lost or dropped on its way."""
+        """Gossip the full state of these proxies again: the peer has missed it."""
         self.members.tell_again(numbers)
 
-    def _doubt(self, now: float) -> None:
-        """Ask the others before one counts as lost: a machine that hears it may be cut off from us alone."""
-        doubted = [id for id, b in self.backends.known.items()
-                   if b.told.state != GONE and not b.lost and now - b.heard > DOUBT * self.beat]
-        if doubted and now >= self.doubt_at:
-            self.doubt_at = now + DOUBT_AGAIN
-            for peer in self.others:
-                self.send(peer, ["heard_of", doubted])
+    def _query_suspects(self, now: float) -> None:
+        """Ask the others about silent backends before these count as lost.
+
+        A registry that still hears from one may have lost contact with this machine alone.
+        """
+        suspects = [id for id, b in self.backends.by_id.items()
+                    if b.report.state != GONE and not b.is_lost
+                    and now - b.heard_at > SUSPECT_HEARTBEATS * self.heartbeat_s]
+        if suspects and now >= self.next_suspect_query_at:
+            self.next_suspect_query_at = now + SUSPECT_QUERY_INTERVAL_S
+            for peer in self.other_registries:
+                self.send(peer, ["heard_of", suspects])
 
     def _on_heard_of(self, peer: str, now: float, ids: list) -> None:
-        heard = [b.now(now).pack() for b in map(self.backends.known.get, ids)
-                 if b is not None and now - b.heard < DOUBT * self.beat]
-        if heard:
-            self.send(peer, ["backends", 0, heard])
+        recent = [b.current_report(now).pack() for b in map(self.backends.by_id.get, ids)
+                  if b is not None and now - b.heard_at < SUSPECT_HEARTBEATS * self.heartbeat_s]
+        if recent:
+            self.send(peer, ["backends", 0, recent])
 
-    # Fronts
+    # Proxies
 
-    def _push(self, ids: list[str], now: float) -> None:
-        """These have changed: keep them, and tell every front that is connected here, several at a time."""
+    def _publish(self, ids: list[str], now: float) -> None:
+        """Save changed backends, and send them to the connected proxies, batched."""
         if not ids:
             return
-        self.whole_list_until = now
-        self.doubted.difference_update(id for id in ids if now - self.backends.known[id].spoke < SPOKE)
-        self.out.append(Save([self.backends.known[id].now(now).pack() for id in ids], []))
-        self._tell_fronts(self.changes.add(ids, now), now)
-
-    def _tell_fronts(self, ids: list[str], now: float) -> None:
-        """A numbered change of the list."""
+        self.full_list_valid_until = now
+        self.reported_lost_ids.difference_update(
+            id for id in ids if now - self.backends.by_id[id].confirmed_at < REVIVAL_MAX_AGE_S)
+        self.actions.append(Save([self.backends.by_id[id].current_report(now).pack() for id in ids], []))
+        self._send_changes(self.pending_changes.add(ids, now), now)
+
+    def _send_changes(self, ids: list[str], now: float) -> None:
+        """Send a numbered list update with these backends to all connected proxies."""
         if not ids:
             return
-        self.number += 1
-        items = self._items(ids, now)
-        for peer in self.fronts:
-            self.send(peer, ["list", self.life, self.number, items, False])
-
-    def _items(self, ids: list[str], now: float) -> list:
-        out = []
+        self.list_number += 1
+        items = self._list_entries(ids, now)
+        for peer in self.connected_proxies:
+            self.send(peer, ["list", self.incarnation, self.list_number, items, False])
+
+    def _list_entries(self, ids: list[str], now: float) -> list:
+        """Packed reports on these backends, each with whether it is lost, or None where that is not known."""
+        entries = []
         for id in ids:
-            if (b := self.backends.known.get(id)) is not None:
-                item = b.now(now).pack()
-                silent = now - b.spoke > LOST_AFTER * self.beat
-                lost = b.lost and self.whole_since is not None or None     # None: we can't tell
-                item.append(lost if silent else b.lost)
-                out.append(item)
-        return out
-
-    def _on_front(self, peer: str, now: float, about: dict, known: list) -> None:
-        """A front connects: it tells what it is and knows, and gets all that there is."""
-        self.about[peer] = about
-        changed = [item[0] for item in known if self.backends.fold(self._told(item[:10], now), now)]
-        self.doubted |= {item[0] for item in known if item[10:] == [True]
-                         and now - self.backends.known[item[0]].spoke >= SPOKE}
+            if (b := self.backends.by_id.get(id)) is not None:
+                item = b.current_report(now).pack()
+                silent = now - b.confirmed_at > LOST_AFTER_HEARTBEATS * self.heartbeat_s
+                lost = b.is_lost and self.quorum_since is not None or None     # None: unknown without a quorum
+                item.append(lost if silent else b.is_lost)
+                entries.append(item)
+        return entries
+
+    def _on_front(self, peer: str, now: float, info: dict, known: list) -> None:
+        """A proxy has connected: take in the backends that it knows, and send it the full list and the state."""
+        self.proxy_info[peer] = info
+        changed = [item[0] for item in known if self.backends.merge(self._unpack_report(item[:10], now), now)]
+        self.reported_lost_ids |= {item[0] for item in known if item[10:] == [True]
+                                   and now - self.backends.by_id[item[0]].confirmed_at >= REVIVAL_MAX_AGE_S}
         if changed:
-            self._share(changed, now, 0)
-            self._push(changed, now)
-        self.fronts[peer] = 0
-        if now >= self.whole_list_until:
-            self.whole_list = self._items(list(self.backends.known), now)
-            self.whole_list_until = now + WHOLE_LIST_GOOD
-        self.send(peer, ["list", self.life, self.number, self.whole_list, True])
-        self.send(peer, ["fronts", self.told_fronts])
-        if self.world:
-            self.send(peer, ["core", self.core, self.world["rev"]])
-            self.send(peer, ["world", *self._brief()])
+            self._replicate(changed, now, 0)
+            self._publish(changed, now)
+        self.connected_proxies[peer] = 0
+        if now >= self.full_list_valid_until:
+            self.full_list = self._list_entries(list(self.backends.by_id), now)
+            self.full_list_valid_until = now + FULL_LIST_CACHE_S
+        self.send(peer, ["list", self.incarnation, self.list_number, self.full_list, True])
+        self.send(peer, ["fronts", self.announced_proxies])
+        if self.cluster_state:
+            self.send(peer, ["core", self.core_zones, self.cluster_state["rev"]])
+            self.send(peer, ["world", *self._state_summary()])
 
     def _on_pass(self, peer: str, now: float, ip: str, message: list) -> None:
-        """A front that can't reach us speaks by way of another; the answers go back by the same way."""
-        front = name("span", ip)
-        self.helpers[front] = peer
-        do = {"front": self._on_front, "ask": self._on_ask, "need": self._on_need,
-              "draw": self.allocation.on_draw}.get(message[0])
-        if do is not None:
-            do(front, now, *message[1:])
-
-    def _brief(self) -> list:
-        w = self.world
-        return [w["rev"], w["version"], w["digest"], w["evac"], w["term"]]
-
-    def _on_ask(self, peer: str, now: float, number: int, ready: bool, heard: int, want: list, version: int) -> None:
-        """A front's ask: for its lease, and by `want` for its parts; `heard` acknowledges changes of the list."""
-        if self.contact.late(now):
-            return      # it may be of long ago; a front asks twice a second
-        if (about := self.about.get(peer)) is None:
+        """Handle a message from a proxy that can't reach this machine; the relay passes the answers back, too."""
+        proxy = name("span", ip)
+        self.relays[proxy] = peer
+        handler = {"front": self._on_front, "ask": self._on_ask, "need": self._on_need,
+                   "draw": self.allocation.on_draw}.get(message[0])
+        if handler is not None:
+            handler(proxy, now, *message[1:])
+
+    def _state_summary(self) -> list:
+        state = self.cluster_state
+        return [state["rev"], state["version"], state["digest"], state["evac"], state["term"]]
+
+    def _on_ask(self, peer: str, now: float, request_number: int, ready: bool, acknowledged: int,
+                share_request: list, version: int) -> None:
+        """A proxy requests its lease, and its quota shares if `share_request` is given.
+
+        `acknowledged` is the number of the newest list update that it has received; `version` that of the
+        configuration in force there.
+        """
+        if self.quorum_check.possible_delay_s(now):
+            return      # it may be stale; a proxy repeats it twice a second
+        if (info := self.proxy_info.get(peer)) is None:
             return self.send(peer, ["who"])
-        self.members.fold(ip_of(peer), about["address"], about["zone"], about["region"], about["life"], ready,
+        self.members.fold(ip_of(peer), info["address"], info["zone"], info["region"], info["life"], ready,
                           version, 0.0, now, True)
-        self.fronts[peer] = heard
-        self.asks.append((peer, now, number))
-        self._read(now)
-        if want:
-            self.allocation.ask(now, [ip_of(peer), about["life"], about["region"], number, *want])
-
-    def _take_figures(self) -> None:
-        """Go by the configuration that is newest here, if it is here."""
-        digest = self.world["digest"]
+        self.connected_proxies[peer] = acknowledged
+        self.lease_requests.append((peer, now, request_number))
+        self._start_read(now)
+        if share_request:
+            self.allocation.ask(now, [ip_of(peer), info["life"], info["region"], request_number, *share_request])
+
+    def _load_configuration(self) -> None:
+        """Apply the newest configuration that is known, if its content has arrived."""
+        digest = self.cluster_state["digest"]
         if digest != self.allocation.figures.digest and (data := self.contents.get(digest)) is not None:
             configuration = config_versions.json.loads(zlib.decompress(data))
             self.directory.homes = homes_by_host(configuration)
             self.allocation.figures = Figures.read(digest, configuration)
 
-    def read_for_itself(self, now: float) -> None:
-        """A read that no front waits for."""
-        self._read(now, own=True)
+    def request_read(self, now: float) -> None:
+        """Start a read of the agreed state for this machine itself, not on behalf of a proxy."""
+        self._start_read(now, own=True)
 
-    def _read(self, now: float, own: bool = False) -> None:
-        """One read of the newest at a time, paced; it serves all asks that came before it began.
+    def _start_read(self, now: float, own: bool = False) -> None:
+        """Read the newest agreed state, one read at a time and paced; it serves all requests that came before it.
 
-        Each read asks a majority in other regions: with many fronts one would follow the other.
+        Each read asks a majority in other regions: with many proxies, unpaced reads would follow each other without
+        a pause.
         """
-        if self.reading is None and (own or self.asks and now - self.read_begun >= READ_PAUSE):
-            self.tokens += 1
-            asks, self.asks = self.asks, []
-            self.read_begun = now
-            self.reading = (self.tokens, now + READ_AGAIN, asks)
-            self.send(self.store, ["read", self.tokens])
-
-    def _on_newest(self, peer: str, now: float, token: int, world: dict | None) -> None:
-        if world is not None:
-            self._on_world(peer, now, world)
-        if (held := self.calls.get(token)) is not None:
-            del self.calls[token]
-            held.then([world])
-        if self.reading is None or self.reading[0] != token:
+        if self.current_read is None and (
+                own or self.lease_requests and now - self.last_read_started_at >= READ_INTERVAL_S):
+            self.last_token += 1
+            lease_requests, self.lease_requests = self.lease_requests, []
+            self.last_read_started_at = now
+            self.current_read = (self.last_token, now + READ_TIMEOUT_S, lease_requests)
+            self.send(self.store_peer, ["read", self.last_token])
+
+    def _on_newest(self, peer: str, now: float, token: int, cluster_state: dict | None) -> None:
+        if cluster_state is not None:
+            self._on_world(peer, now, cluster_state)
+        if (pending := self.pending_calls.get(token)) is not None:
+            del self.pending_calls[token]
+            pending.on_result([cluster_state])
+        if self.current_read is None or self.current_read[0] != token:
             return
-        asks, began, self.reading = self.reading[2], self.reading[1] - READ_AGAIN, None
-        if world is not None:
-            self.read_at = max(self.read_at, began)
-            for front, _, number in asks:
-                self.send(front, ["lease", number, *self._brief()])
-        self._read(now)
-
-    def _on_world(self, peer: str, now: float, world: dict) -> None:
-        if self.world and world["rev"] <= self.world["rev"]:
+        lease_requests, started_at, self.current_read = (
+            self.current_read[2], self.current_read[1] - READ_TIMEOUT_S, None)
+        if cluster_state is not None:
+            self.state_confirmed_at = max(self.state_confirmed_at, started_at)
+            for proxy, _, request_number in lease_requests:
+                self.send(proxy, ["lease", request_number, *self._state_summary()])
+        self._start_read(now)
+
+    def _on_world(self, peer: str, now: float, cluster_state: dict) -> None:
+        if self.cluster_state and cluster_state["rev"] <= self.cluster_state["rev"]:
             return
-        for zone in set(self.world["evac"] if self.world else ()) - set(world["evac"]):
-            self.cold.restored[zone] = now
-        was = self.world.get("digest", "")
-        moved = not self.world or self.core != {**world["ready"], **world["voters"]}
-        self.world = world
-        self.allocation.on_world(world["term"], now)
-        if was in ("", self.allocation.figures.digest) and world["digest"] != self.allocation.figures.digest:
+        for zone in set(self.cluster_state["evac"] if self.cluster_state else ()) - set(cluster_state["evac"]):
+            self.cold_backends.restored[zone] = now
+        previous_digest = self.cluster_state.get("digest", "")
+        membership_changed = not self.cluster_state or self.core_zones != {
+            **cluster_state["ready"], **cluster_state["voters"]}
+        self.cluster_state = cluster_state
+        self.allocation.on_world(cluster_state["term"], now)
+        if (previous_digest in ("", self.allocation.figures.digest)
+                and cluster_state["digest"] != self.allocation.figures.digest):
             self.allocation.behind_since = now
-        if world["digest"] and world["digest"] not in self.contents:
-            self.want_at = now + WANT_AGAIN
-            self.send(self.store, ["want", world["digest"]])
+        if cluster_state["digest"] and cluster_state["digest"] not in self.contents:
+            self.next_content_request_at = now + CONTENT_RETRY_S
+            self.send(self.store_peer, ["want", cluster_state["digest"]])
         else:
-            self._take_figures()
-        for front in self.fronts:
-            if moved:
-                self.send(front, ["core", self.core, self.world["rev"]])
-            self.send(front, ["world", *self._brief()])
+            self._load_configuration()
+        for proxy in self.connected_proxies:
+            if membership_changed:
+                self.send(proxy, ["core", self.core_zones, self.cluster_state["rev"]])
+            self.send(proxy, ["world", *self._state_summary()])
 
     def _on_content(self, peer: str, now: float, digest: str, data: bytes) -> None:
         self.contents[digest] = data
         while len(self.contents) > 4:
             self.contents.pop(next(iter(self.contents)))
-        if self.world and digest == self.world["digest"]:
-            self._take_figures()
-        for _, then in self.wants.pop(digest, ()):
-            then()
+        if self.cluster_state and digest == self.cluster_state["digest"]:
+            self._load_configuration()
+        for _, callback in self.content_waiters.pop(digest, ()):
+            callback()
 
-    def with_content(self, digest: str, now: float, then: Callable[[], None]) -> None:
+    def with_content(self, digest: str, now: float, callback: Callable[[], None]) -> None:
+        """Call back once the configuration with this digest is here; never, if it does not arrive in time."""
         if digest in self.contents:
-            return then()
-        self.wants.setdefault(digest, []).append((now, then))
-        self.send(self.store, ["want", digest])
+            return callback()
+        self.content_waiters.setdefault(digest, []).append((now, callback))
+        self.send(self.store_peer, ["want", digest])
 
     def _on_need(self, peer: str, now: float, digest: str) -> None:
-        """A front asks for a configuration."""
+        """A proxy requests a configuration."""
         self.with_content(digest, now, lambda: self.send(peer, ["content", digest, self.contents[digest]]))
 
     # Clients
 
-    def _call_resolve(self, asking: Asking, now: float) -> None:
-        zone = asking.query.get("availability_zone", "")
-        region = asking.query.get("region") or self.regions.get(zone, "")
-        told = self.directory.resolve(asking.query.get("name", ""), zone, region, self.whole_since, now)
-        self.out += told.violations
-        if not told.addresses:
-            return self.answer(asking, fault(503, "no front is ready"))
-        self.answer(asking, Reply(200, {"addresses": told.addresses, "ttl_s": told.ttl}))
-
-    def _on_changed(self, peer: str, now: float, token: int, status: int, reason: str, world: dict | None) -> None:
-        if world is not None:
-            self._on_world(peer, now, world)
+    def _call_resolve(self, request: Asking, now: float) -> None:
+        zone = request.query.get("availability_zone", "")
+        region = request.query.get("region") or self.region_of_zone.get(zone, "")
+        resolved = self.directory.resolve(request.query.get("name", ""), zone, region, self.quorum_since, now)
+        self.actions += resolved.violations
+        if not resolved.addresses:
+            return self.answer(request, error_reply(503, "no proxy is ready"))
+        self.answer(request, Reply(200, {"addresses": resolved.addresses, "ttl_s": resolved.ttl}))
+
+    def _on_changed(self, peer: str, now: float, token: int, status: int, reason: str,
+                    cluster_state: dict | None) -> None:
+        """The store's result of a change that was proposed by `token`."""
+        if cluster_state is not None:
+            self._on_world(peer, now, cluster_state)
         if status not in (200, 503):
-            self.out.append(Note("REFUSED", {"reason": reason}))
+            self.actions.append(Note("REFUSED", {"reason": reason}))
         if self.allocation.leading is not None and token == self.allocation.leading[0]:
-            self.allocation.term_numbered(status, world, now)
+            self.allocation.term_numbered(status, cluster_state, now)
             if status == 200:
                 return
         self.allocation.roster.changed(token, status)
-        if (held := self.calls.pop(token, None)) is not None:
-            held.then([status, reason])
+        if (pending := self.pending_calls.pop(token, None)) is not None:
+            pending.on_result([status, reason])
--- a/fennelpoint/system/registry/storage.py
+++ b/fennelpoint/system/registry/storage.py
@@ -1,7 +1,7 @@
-"""What a registry keeps on disk: backends as last told, so that a core whose processes all died knows them at once.
+"""The registry's backends on disk, so that a core whose processes have all died knows them at once after a restart.
 
-A drain is on disk before it is acknowledged.  A file that can't be used is set aside with one line and begun anew;
-a disk that refuses writes costs nothing but this.
+A drain is on disk before it is acknowledged.  An unusable file is renamed, logged and replaced by a new one; a disk
+that refuses writes disables nothing but this storage.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 from fennelpoint.system.events import Event, say
 
 SCHEMA = 1
-TABLES = """
+CREATE_TABLES = """
 CREATE TABLE IF NOT EXISTS about (key TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS backends (id TEXT PRIMARY KEY, row BLOB NOT NULL) WITHOUT ROWID;
 """
 
 
-class Disk:
-    """The file of one registry; `rows` are what it held when it was opened."""
+class BackendStorage:
+    """The database file of one registry; `rows` are the packed reports that it contained when it was opened."""
 
-    def __init__(self, folder: str | None) -> None:
+    def __init__(self, directory: str | None) -> None:
         self.db: sqlite3.Connection | None = None
         self.rows: list[list] = []
-        if not folder:
+        if not directory:
             return
-        path = Path(folder) / "roll.sqlite"
+        path = Path(directory) / "roll.sqlite"
         for _ in range(2):
             try:
                 path.parent.mkdir(parents=True, exist_ok=True)
@@ -36,24 +36,24 @@
                 return
             except (sqlite3.Error, OSError, ValueError, TypeError) as error:
                 say(Event.SET_ASIDE, path=path, reason=error)
-                self._aside(path)
+                self._set_aside(path)
 
     def _open(self, path: Path) -> None:
         self.db = sqlite3.connect(path, isolation_level=None)
         self.db.execute("PRAGMA synchronous=FULL")
         self.db.execute("PRAGMA locking_mode=EXCLUSIVE")
         self.db.execute("PRAGMA journal_mode=WAL")
-        self.db.executescript(TABLES)
+        self.db.executescript(CREATE_TABLES)
         self.db.execute("INSERT OR IGNORE INTO about VALUES ('schema', ?)", (str(SCHEMA),))
         (schema,) = self.db.execute("SELECT value FROM about WHERE key = 'schema'").fetchone()
         if schema != str(SCHEMA):
-            raise ValueError(f"it has schema {schema}")
+            raise ValueError(f"unsupported schema version {schema}")
         rows = [msgpack.unpackb(row) for (row,) in self.db.execute("SELECT row FROM backends")]
         if any(not isinstance(row, list) or len(row) != 10 for row in rows):
-            raise ValueError("its rows are no backends")
+            raise ValueError("rows are not valid backend reports")
         self.rows = rows
 
-    def _aside(self, path: Path) -> None:
+    def _set_aside(self, path: Path) -> None:
         try:
             if self.db is not None:
                 self.db.close()
@@ -65,15 +65,15 @@
         except (OSError, sqlite3.Error) as error:
             say(Event.DISK, step="set aside", reason=error)
 
-    def save(self, rows: list[list], forgotten: list[str]) -> None:
-        """These are what they are from now on, and those are no more; on disk when it returns."""
+    def save(self, rows: list[list], forgotten_ids: list[str]) -> None:
+        """Store these backends and delete the forgotten ones, durably; errors are logged."""
         if self.db is None:
             return
         try:
             self.db.execute("BEGIN")
             self.db.executemany("INSERT OR REPLACE INTO backends VALUES (?, ?)",
                                 [(row[0], msgpack.packb(row)) for row in rows])
-            self.db.executemany("DELETE FROM backends WHERE id = ?", [(id,) for id in forgotten])
+            self.db.executemany("DELETE FROM backends WHERE id = ?", [(id,) for id in forgotten_ids])
             self.db.execute("COMMIT")
         except sqlite3.Error as error:
             say(Event.DISK, step="backends", reason=error)
--- a/fennelpoint/system/store/replica.py
+++ b/fennelpoint/system/store/replica.py
@@ -35,7 +35,7 @@
 from fennelpoint.system.config_versions import digest as digest_of
 from fennelpoint.system.graceful_shutdown import Leaving
 from fennelpoint.system.incarnation import first_number
-from fennelpoint.system.registry.quorum_check import DRAIN, LAG
+from fennelpoint.system.registry.quorum_check import BACKLOG_S, PAUSE_THRESHOLD_S
 from fennelpoint.system.store import idempotency
 from fennelpoint.system.store.content_retention import Lately
 from fennelpoint.system.store.failure_detector import Said, Watch
@@ -289,8 +289,8 @@
         return self.leaving.over(now)
 
     def _woke(self, now: float) -> None:
-        if now - self.seen > LAG:
-            self.drained = now + DRAIN
+        if now - self.seen > PAUSE_THRESHOLD_S:
+            self.drained = now + BACKLOG_S
         self.seen = now
 
     def _done(self) -> list[Action]:
--- a/fennelpoint/testing/core_calls.py
+++ b/fennelpoint/testing/core_calls.py
@@ -55,9 +55,9 @@
             self.beaten[id(asking)] = by
             self._later(ANSWER_WITHIN, lambda: self._elsewhere(by) if self.beaten.pop(id(asking), None) else None)
         if via in self.frozen:
-            self.waits[via].append(lambda: self._roll(core, core.desk.call(asking, self.now)))
+            self.waits[via].append(lambda: self._roll(core, core.registry.on_call(asking, self.now)))
         elif core.up:
-            self._roll(core, core.desk.call(asking, self.now))
+            self._roll(core, core.registry.on_call(asking, self.now))
 
     def put(self, version: int, base: int, via: str, label: str = "", mark: str = "") -> None:
         """An operator's whole configuration: one route, one service, two tenants with the world's rate."""
--- a/fennelpoint/testing/core_invariants.py
+++ b/fennelpoint/testing/core_invariants.py
@@ -93,13 +93,13 @@
 
     def _check_allocators(self) -> None:
         world = self.world
-        desks = [core.desk for core in world.cores.values() if core.up]
-        leads = [desk for desk in desks if desk.allocation.reckons(world.now)]
-        terms = {desk.allocation.allocator.term[0] for desk in leads}
-        knows = any(desk.world["term"] > desk.allocation.allocator.term[0] for desk in leads)
+        registries = [core.registry for core in world.cores.values() if core.up]
+        leads = [registry for registry in registries if registry.allocation.reckons(world.now)]
+        terms = {registry.allocation.allocator.term[0] for registry in leads}
+        knows = any(registry.cluster_state["term"] > registry.allocation.allocator.term[0] for registry in leads)
         self.overlap = self.overlap + STEP if len(terms) > 1 and not knows else 0.0
         if self.overlap > OVERLAP_MOST:
-            raise self._broken(f"{[desk.me for desk in leads]} allocate parts")
+            raise self._broken(f"{[registry.node_ip for registry in leads]} allocate parts")
 
     def _check_voters(self) -> None:
         for core in self.world.cores.values():
--- a/fennelpoint/testing/core_machines.py
+++ b/fennelpoint/testing/core_machines.py
@@ -6,7 +6,7 @@
 
 from fennelpoint.fleet.register import Keeper
 from fennelpoint.system.proxy.core_session import CoreSession
-from fennelpoint.system.registry.state_machine import Desk
+from fennelpoint.system.registry.state_machine import RegistryStateMachine
 from fennelpoint.system.store.replica import Store
 
 
@@ -34,9 +34,9 @@
     contents: dict[str, bytes] = field(default_factory=dict)
     rows: dict[str, list] = field(default_factory=dict)
     store: Store | None = None
-    desk: Desk | None = None
+    registry: RegistryStateMachine | None = None
     full: bool = False  # the disk refuses writes
-    desk_gone: bool = False  # its registry has left
+    registry_gone: bool = False  # its registry has left
 
 
 @dataclass(eq=False)
--- a/fennelpoint/testing/core_simulation.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -23,7 +23,7 @@
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.session_actions import Apply, Hold, Units
 from fennelpoint.system.registry import state_machine as roll
-from fennelpoint.system.registry.state_machine import Desk
+from fennelpoint.system.registry.state_machine import RegistryStateMachine
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store import replica as writ
 from fennelpoint.system.store.replica import Store
@@ -81,7 +81,7 @@
     def boot(self, ip: str, first: bool = False) -> None:
         regions = {c.zone: c.region for c in [*self.cores.values(), *self.fronts.values()]}
         if (core := self.cores.get(ip)) is not None:
-            core.up, core.desk_gone = True, False
+            core.up, core.registry_gone = True, False
             for role in ("writ", "roll"):
                 self.restart(role, ip, first)
             return
@@ -103,9 +103,10 @@
             core.store = Store(ip, core.zone, regions, self.seeds, keeper, first and ip in self.seeds,
                                core.contents.get, Random(self.random.random()), self.now)
         else:
-            core.desk = Desk(ip, core.zone, core.region, regions, self.seeds, 8200, self.bounds, BEAT,
-                             self.random.getrandbits(40), first, self.now)
-            core.desk.restore(list(core.rows.values()), self.now)
+            core.registry = RegistryStateMachine(
+                ip, core.zone, core.region, regions, self.seeds, 8200, self.bounds, BEAT,
+                self.random.getrandbits(40), first, self.now)
+            core.registry.restore(list(core.rows.values()), self.now)
         self._unlink(name(role, ip))
 
     def _unlink(self, process: str) -> None:
@@ -126,7 +127,7 @@
     def stop(self, ip: str) -> None:
         core = self.cores[ip]
         self._writ(core, core.store.leave(self.now))
-        self._roll(core, core.desk.leave(self.now))
+        self._roll(core, core.registry.begin_shutdown(self.now))
 
     def _up(self, process: str) -> bool:
         ip = ip_of(process)
@@ -173,7 +174,7 @@
             whose = writ.ROLL if source.startswith("roll@") else ip_of(source)
             self._writ(self.cores[ip], self.cores[ip].store.heard(whose, message, self.now))
         elif role == "roll":
-            self._roll(self.cores[ip], self.cores[ip].desk.heard(source, message, self.now))
+            self._roll(self.cores[ip], self.cores[ip].registry.on_message(source, message, self.now))
         elif self.links.get((to, source), (False, 0.0))[0] or source.startswith("span@"):
             self._span(self.fronts[ip], self.fronts[ip].session.heard(source, message, self.now))
 
@@ -270,10 +271,10 @@
         machine = self.cores.get(ip) or self.fronts[ip]
         if machine.up and isinstance(machine, Core):
             self._writ(machine, machine.store.tick(self.now))
-            if not machine.desk_gone:
-                self._roll(machine, machine.desk.tick(self.now))
-                machine.desk_gone = machine.desk.gone(self.now)
-            if machine.desk_gone and machine.store.gone(self.now):
+            if not machine.registry_gone:
+                self._roll(machine, machine.registry.tick(self.now))
+                machine.registry_gone = machine.registry.is_shutdown_complete(self.now)
+            if machine.registry_gone and machine.store.gone(self.now):
                 self.kill(ip)
         elif machine.up:
             self._span(machine, machine.session.tick(self.now))
@@ -348,7 +349,7 @@
     def _linked(self, one: str, other: str, up: bool) -> None:
         role, ip = one.split("@")
         if role == "roll":
-            self._roll(self.cores[ip], self.cores[ip].desk.linked(other, up, self.now))
+            self._roll(self.cores[ip], self.cores[ip].registry.on_link(other, up, self.now))
         elif role == "writ":
             self._writ(self.cores[ip], self.cores[ip].store.linked(ip_of(other), up, self.now))
         elif role == "span":
--- a/fennelpoint/testing/operator_calls.py
+++ b/fennelpoint/testing/operator_calls.py
@@ -150,7 +150,7 @@
         if (waiting := self.asleep.get(via)) is not None:
             return waiting.append(lambda: self._arrive(flow, asking, via))
         self.open[id(asking)] = (flow, asking, via)
-        self._roll(core, core.desk.call(asking, self.now))
+        self._roll(core, core.registry.on_call(asking, self.now))
 
     def _answered(self, asking: Asking, reply: Reply) -> None:
         super()._answered(asking, reply)
--- a/fennelpoint/testing/operators.py
+++ b/fennelpoint/testing/operators.py
@@ -75,7 +75,7 @@
         for core in self.cores.values():
             if core.up and core.ip not in self.asleep:
                 self._writ(core, core.store.tick(self.now))
-                self._roll(core, core.desk.tick(self.now))
+                self._roll(core, core.registry.tick(self.now))
         if self.losing is not None:
             well = not self.windows and all(c.up for c in self.cores.values() if c.ip not in self.removed)
             self.losing = self.losing + STEP if well else 0.0
--- a/fennelpoint/testing/random_core_scenarios.py
+++ b/fennelpoint/testing/random_core_scenarios.py
@@ -149,7 +149,7 @@
         self.world.do(["boot", ip])
 
     def _kill_allocator(self) -> None:
-        holders = [ip for ip, core in self.world.cores.items() if core.up and core.desk.allocation.allocator]
+        holders = [ip for ip, core in self.world.cores.items() if core.up and core.registry.allocation.allocator]
         if holders:
             self._kill_core(holders[0])
 
--- a/fennelpoint/testing/scenario_language.py
+++ b/fennelpoint/testing/scenario_language.py
@@ -123,12 +123,12 @@
                 front.drawn.pop(tenant, None)
                 self._span(front, front.session.draw({tenant: int(units)}, self.now))
             case ["claim", ip, term]:   # it holds the duty, as by voters that none of the others goes by
-                desk = self.cores[ip].desk
-                duty = desk.allocation.duty
+                registry = self.cores[ip].registry
+                duty = registry.allocation.duty
                 duty.term, duty.held_until, duty.claimed_at = (int(term), ip), self.now + 1.0, self.now
                 duty.granted, duty.until = ip, self.now + 1.2
-                desk.allocation.lead(self.now)
-                self._roll(self.cores[ip], desk._done())
+                registry.allocation.lead(self.now)
+                self._roll(self.cores[ip], registry._take_actions())
             case ["expect", *rest]:
                 if not self._holds(rest):
                     raise Broken(f"{self.now:.2f}: {' '.join(words)}")
@@ -137,7 +137,8 @@
 
     def _these(self, ips: list[str]) -> list[str]:
         if "reckoner" in ips:
-            (self.marked,) = (c.ip for c in self.cores.values() if c.up and c.desk.allocation.allocator is not None)
+            (self.marked,) = (
+                c.ip for c in self.cores.values() if c.up and c.registry.allocation.allocator is not None)
         groups = {"core": list(self.cores), "fronts": list(self.fronts), "all": [*self.cores, *self.fronts],
                   "reckoner": [self.marked], "marked": [self.marked],
                   "others": [ip for ip in self.cores if ip != self.marked]}
@@ -169,20 +170,21 @@
             case ["up", ip, word]:
                 return all(self.cores[one].up is (word == "yes") for one in self._these([ip]))
             case ["enrolled", ip, *ips]:
-                return all(set(self.cores[one].desk.world["fronts"]) == set(ips) for one in self._these([ip]))
+                return all(
+                    set(self.cores[one].registry.cluster_state["fronts"]) == set(ips) for one in self._these([ip]))
             case ["votes", ip, word]:
                 core = self.cores[ip]
                 return (core.store.keeper.votes and not core.store.ill) is (word == "yes")
             case ["sees", ip, backend, state]:
-                b = self.fronts[ip].session.backends.known.get(backend)
-                return state == ("none" if b is None else "lost" if b.lost else b.told.state)
+                b = self.fronts[ip].session.backends.by_id.get(backend)
+                return state == ("none" if b is None else "lost" if b.is_lost else b.report.state)
             case ["losses", *ids]:  # of backends that live
                 return sorted(set(self.losses)) == ids
             case ["home", backend, ip]:
                 return self.backends[backend].home == ip
             case ["knows", ip, backend, state]:
-                b = self.cores[ip].desk.backends.known.get(backend)
-                return state == ("none" if b is None else "lost" if b.lost else b.told.state)
+                b = self.cores[ip].registry.backends.by_id.get(backend)
+                return state == ("none" if b is None else "lost" if b.is_lost else b.report.state)
             case ["parts", ip, tenant, least, most]:
                 return int(least) <= self.fronts[ip].session.parts.quotas.get(tenant, 0) <= int(most)
             case ["drawn", ip, tenant, units, denied]:
@@ -190,7 +192,7 @@
             case ["cold", ip, backend, least, most]:
                 return int(least) <= self.fronts[ip].session.parts.cold.get(backend, 0) <= int(most)
             case ["reckons", word]:
-                leads = [c.ip for c in self.cores.values() if c.up and c.desk.allocation.allocator is not None]
+                leads = [c.ip for c in self.cores.values() if c.up and c.registry.allocation.allocator is not None]
                 return len(leads) == (0 if word == "none" else 1) and word in ("none", "one", *leads)
             case ["agreed", *what]:
                 votes = [c.store.world for c in self.cores.values() if c.up and c.store.world]
--- a/tests/system/test_allocation_leader.py
+++ b/tests/system/test_allocation_leader.py
@@ -6,7 +6,7 @@
 from fennelpoint.system.actions import Note, Send
 from fennelpoint.system.registry.allocation_leader import AllocationDuty
 from fennelpoint.system.registry.allocation_parameters import ColdBackends
-from fennelpoint.system.registry.backend_table import Backends
+from fennelpoint.system.registry.backend_table import BackendTable
 from fennelpoint.system.registry.leader_lease import Duty
 from fennelpoint.system.settings import Bounds
 
@@ -18,38 +18,38 @@
 class Registry:
     """What the duty sees of its registry; what it sends is kept."""
 
-    me: str = "a"
-    store: str = "writ@a"
+    node_ip: str = "a"
+    store_peer: str = "writ@a"
     seeds: list[str] = field(default_factory=lambda: list(VOTERS))
-    tokens: int = 0
-    world: dict = field(default_factory=lambda: {"voters": VOTERS, "term": 4, "fronts": ["f1"], "digest": ""})
-    links: set[str] = field(default_factory=lambda: {"b", "c"})
-    fronts: dict[str, int] = field(default_factory=lambda: {"span@f1": 0})
-    backends: Backends = field(default_factory=Backends)
+    last_token: int = 0
+    cluster_state: dict = field(default_factory=lambda: {"voters": VOTERS, "term": 4, "fronts": ["f1"], "digest": ""})
+    linked_registries: set[str] = field(default_factory=lambda: {"b", "c"})
+    connected_proxies: dict[str, int] = field(default_factory=lambda: {"span@f1": 0})
+    backends: BackendTable = field(default_factory=BackendTable)
     bounds: Bounds = field(default_factory=lambda: BOUNDS)
-    read_at: float = 0.0
-    out: list = field(default_factory=list)
-    others: tuple[str, ...] = ("roll@b", "roll@c")
+    state_confirmed_at: float = 0.0
+    actions: list = field(default_factory=list)
+    other_registries: tuple[str, ...] = ("roll@b", "roll@c")
 
-    def majority(self, holders: set[str]) -> bool:
+    def is_majority(self, holders: set[str]) -> bool:
         return len(holders & VOTERS.keys()) > 1
 
     def send(self, to: str, message: list) -> None:
-        self.out.append(Send(to, message))
+        self.actions.append(Send(to, message))
 
-    def read_for_itself(self, now: float) -> None:
-        self.read_at = now
+    def request_read(self, now: float) -> None:
+        self.state_confirmed_at = now
 
     def sent(self, kind: str) -> list[list]:
         """Messages of a kind that were sent so far."""
-        return [one.message for one in self.out if isinstance(one, Send) and one.message[0] == kind]
+        return [one.message for one in self.actions if isinstance(one, Send) and one.message[0] == kind]
 
     def calls(self) -> list[int]:
         """Tokens of the calls for a term."""
         return [message[1] for message in self.sent("change") if message[2] == "lead"]
 
     def led(self) -> list[int]:
-        return [one.fields["term"] for one in self.out if isinstance(one, Note) and one.event == "LEADS"]
+        return [one.fields["term"] for one in self.actions if isinstance(one, Note) and one.event == "LEADS"]
 
 
 class Played:
@@ -72,14 +72,14 @@
 
     def numbered(self, term: int) -> None:
         """The store has given the newest call this term."""
-        world = {**self.registry.world, "term": term}
+        world = {**self.registry.cluster_state, "term": term}
         self.passed_by(term)
         self.duty.term_numbered(200, world, self.now)
 
     def passed_by(self, term: int) -> None:
         """Another's call was given that term."""
-        if term > self.registry.world["term"]:
-            self.registry.world = {**self.registry.world, "term": term}
+        if term > self.registry.cluster_state["term"]:
+            self.registry.cluster_state = {**self.registry.cluster_state, "term": term}
             self.duty.on_world(term, self.now)
 
 
--- a/tests/system/test_directory.py
+++ b/tests/system/test_directory.py
@@ -51,7 +51,7 @@
         f"at {frozen + spans} thaw c1\nat {frozen + spans + 2.5} expect lease fd yes",
         seed,
     )
-    known, truth = (world.cores[ip].desk.members.known["fd"] for ip in ("c1", "a2"))
+    known, truth = (world.cores[ip].registry.members.known["fd"] for ip in ("c1", "a2"))
     assert (
         (known.ready, known.version, known.life) == (truth.ready, truth.version, truth.life) == (True, 3, truth.life)
     )
@@ -59,11 +59,11 @@
 
 def test_a_word_about_a_proxy_that_never_came_is_asked_for() -> None:
     world = play(f"{SITE}at 2 put 3 on 0 via a1\nat 8 expect lease fd yes")
-    for members in (world.cores[ip].desk.members for ip in ("b1", "c1")):
+    for members in (world.cores[ip].registry.members for ip in ("b1", "c1")):
         members.known["fd"].ready = False  # as if the word that it is ready had been lost
         members.known.pop("fa")
     world.run(10.0)
-    for members in (world.cores[ip].desk.members for ip in ("b1", "c1")):
+    for members in (world.cores[ip].registry.members for ip in ("b1", "c1")):
         assert members.known["fd"].ready and members.known["fa"].ready
 
 
--- a/tests/system/test_graceful_shutdown.py
+++ b/tests/system/test_graceful_shutdown.py
@@ -20,9 +20,9 @@
 
 def test_beats_that_it_alone_heard_are_told_and_late_calls_are_sent_on() -> None:
     world = play(SITE)
-    desk = world.cores["a1"].desk
-    desk.news = {"s1"}
-    told = {a.to: a.message for a in desk.leave(world.now) if getattr(a, "message", [""])[0] == "heard"}
+    registry = world.cores["a1"].registry
+    registry.recently_heard_ids = {"s1"}
+    told = {a.to: a.message for a in registry.begin_shutdown(world.now) if getattr(a, "message", [""])[0] == "heard"}
     assert set(told) == {"roll@b1", "roll@c1"} and all(message[1] == ["s1"] for message in told.values())
     world.call("GET", "/api/status", None, "a1", "late")
     (asking,) = world.asked["late"]
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -66,20 +66,20 @@
         world.call("PUT", f"/api/instances/{id}", told, "a1", id)
 
     def begun() -> int:
-        return state_machine.first_number(world.cores["a1"].desk.life)
+        return state_machine.first_number(world.cores["a1"].registry.incarnation)
 
     world.run(4.3)      # connected again: one that is not answers 503 at once
-    counted = world.cores["a1"].desk.tokens - begun()
+    counted = world.cores["a1"].registry.last_token - begun()
     drain("x1")
     world.run(4.34)
     for line in ("late 5 backends", "restart roll a1"):     # nobody hears of the second one
         world.do(line.split())
     world.run(4.64)
-    world.cores["a1"].desk.tokens = begun() + counted   # it has made as many requests as its former life had
+    world.cores["a1"].registry.last_token = begun() + counted   # it has made as many requests as its former life had
     drain("x2")
     world.run(5.7)
     assert world.status("x2") == (503 if fenced else 200)
-    assert not any("x2" in c.desk.backends.known for c in world.cores.values() if c.ip != "a1")
+    assert not any("x2" in c.registry.backends.by_id for c in world.cores.values() if c.ip != "a1")
 
 
 def test_a_lease_that_a_former_life_of_the_machine_asked_for_is_none(fenced: bool) -> None:
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -67,10 +67,10 @@
     def whole(self, ip: str) -> bool:
         """Whether it votes, by the newest value and its content, and its registry goes by these."""
         core, newest = self.cores[ip], max(c.store.world.get("rev", -1) for c in self.cores.values() if c.up)
-        store, desk = core.store, core.desk
+        store, registry = core.store, core.registry
         return (core.up and store.keeper.votes and store.world.get("version") == self.made
-                and desk.world.get("rev", -1) >= newest - 1
-                and desk.allocation.figures.digest == store.world["digest"]
+                and registry.cluster_state.get("rev", -1) >= newest - 1
+                and registry.allocation.figures.digest == store.world["digest"]
                 and store.world["digest"] in core.contents)
 
     def back(self, ip: str) -> tuple[float, int]:
@@ -123,7 +123,7 @@
         out["fronts"] = len(cores[0].store.world["fronts"])
         out["on disk"] = max(len(c.contents) for c in cores)
         out["on disk, bytes"] = max(sum(map(len, c.contents.values())) for c in cores)
-        out["in memory"] = max(items(c.store) + items(c.desk) for c in cores)
+        out["in memory"] = max(items(c.store) + items(c.registry) for c in cores)
         return out
 
 
--- a/tests/system/test_operator_cli.py
+++ b/tests/system/test_operator_cli.py
@@ -31,9 +31,9 @@
 
     def take(asking) -> None:
         world.asked.setdefault("", []).append(asking)   # replies are kept by identity
-        leads = (c for c in world.cores.values() if c.desk.allocation.allocator is not None)
+        leads = (c for c in world.cores.values() if c.registry.allocation.allocator is not None)
         at = next((c for c in leads if asking.call.name == "parts"), world.cores["a1"])
-        world._roll(at, at.desk.call(asking, world.now))
+        world._roll(at, at.registry.on_call(asking, world.now))
         world.run(world.now + 0.5)
         if (reply := world.replies.get(id(asking))) is not None:
             asking.answer(reply)
@@ -154,7 +154,7 @@
     new.put(5, 3, "c1")
     new.run(6.0)
     assert [new.status(label) for label in ("revive", "again", "put 5")] == [200, 200, 200]
-    assert new.cores["a2"].desk.world["evac"] == ["zb"] and new.fronts["fa"].version == 5
+    assert new.cores["a2"].registry.cluster_state["evac"] == ["zb"] and new.fronts["fa"].version == 5
 
 
 def test_who_does_not_reckon_names_who_does() -> None:
@@ -163,7 +163,7 @@
         world.do(line.split())
     world.put(3, 0, "a1")
     world.run(4.0)
-    (who,) = (ip for ip, core in world.cores.items() if core.desk.allocation.allocator is not None)
+    (who,) = (ip for ip, core in world.cores.items() if core.registry.allocation.allocator is not None)
     for ip in world.cores:
         world.call("GET", "/api/parts", None, ip, ip)
         reply = world.replies[id(world.asked[ip][-1])]
--- a/tests/system/test_ports.py
+++ b/tests/system/test_ports.py
@@ -76,6 +76,6 @@
     world.start()
     world.run(0.2)
     asking = Asking(call, "i-1", {}, json.dumps(value).encode(), None)
-    world._roll(world.cores["a1"], world.cores["a1"].desk.call(asking, world.now))
+    world._roll(world.cores["a1"], world.cores["a1"].registry.on_call(asking, world.now))
     world.run(0.6)
     assert 400 <= world.replies[id(asking)].status < 500
--- a/tests/system/test_size.py
+++ b/tests/system/test_size.py
@@ -49,7 +49,7 @@
     world.run(1.5)
     while world.now < 8.0:
         world.run(world.now + 0.1)
-        assert [ip for ip, core in world.cores.items() if not core.desk.in_touch(world.now)] == []
+        assert [ip for ip, core in world.cores.items() if not core.registry.has_quorum(world.now)] == []
     value = world.cores["c00"].store.world
     assert len(value["ready"]) + len(value["voters"]) == machines
 
