--- a/tests/system/test_silent_backends.py
+++ b/tests/system/test_silent_backends.py
@@ -1,4 +1,4 @@
-"""Backends that say nothing: their machine has no power, their queue of connections is full, or they stand still."""
+"""Backends that do not answer: the machine is off, the listen queue is full, or the process hangs."""
 
 import asyncio
 import json
@@ -12,9 +12,9 @@
 from fennelpoint.system.proxy.program import Program
 from fennelpoint.testing.process import free_port
 
-TIMEOUT = 1.0  # s, the route's, for one try at all its backends
-STANDS_STILL = 0.3  # s before a process ends; the share of the slack has saved a retry by then
-SOON = 0.6  # s in which a connection that does not come up is given up, and another backend has answered
+REQUEST_TIMEOUT_S = 1.0  # of the route, over all attempts
+HANG_S = 0.3  # for which a process hangs before it ends; its share of the retry slack allows a retry by then
+FAILOVER_S = 0.6  # in which a connect attempt is given up and another backend has answered
 
 
 def version(kind: str) -> bytes:
@@ -22,12 +22,12 @@
     rule = value["listener_table"][0]["rule_set"][0]
     rule["kind"] = kind
     rule["target_latency_s"] = 0.4
-    rule["route_action"]["request_timeout_s"] = TIMEOUT
+    rule["route_action"]["request_timeout_s"] = REQUEST_TIMEOUT_S
     return zlib.compress(json.dumps(value).encode())
 
 
-async def front(kind: str, *addresses: tuple[str, int]) -> tuple[Program, int]:
-    """A front that serves by these backends, the first of them in its own zone; and its port."""
+async def start_proxy(kind: str, *addresses: tuple[str, int]) -> tuple[Program, int]:
+    """Start a proxy for these backends, the first of them in its own zone; return it and its port."""
     public = free_port()
     bounds = "rule_bounds.budget_slack=100\nrule_bounds.retry_budget_ratio=0.2\nrule_bounds.budget_window_s=10"
     program = Program(asyncio.get_running_loop(), settings_of(public, free_port(), bounds=bounds))
@@ -43,7 +43,7 @@
 
 
 class Answering(Booking):
-    """A backend that answers at once, one request after the other on each connection."""
+    """A backend that answers at once, one request after another on each connection."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -53,44 +53,44 @@
             writer.close()
 
 
-async def answering() -> tuple[Booking, tuple[str, int]]:
+async def start_answering_backend() -> tuple[Booking, tuple[str, int]]:
     booking = Answering()
     booking.may.set()
     server = await asyncio.start_server(booking.serve, "127.0.0.1", 0)
     return booking, server.sockets[0].getsockname()[:2]
 
 
-class FullQueue:
-    """An address at which the opening of a connection is dropped: the queue of those not accepted yet is full."""
+class FullListenQueue:
+    """An address that drops new connections: its queue of connections to accept is full."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=0)
-        self.at = self.listener.getsockname()[:2]
+        self.address = self.listener.getsockname()[:2]
         self.waiting = [self._connect() for _ in range(3)]
 
     def _connect(self) -> socket.socket:
-        one = socket.socket()
-        one.setblocking(False)
-        one.connect_ex(self.at)
-        return one
+        client = socket.socket()
+        client.setblocking(False)
+        client.connect_ex(self.address)
+        return client
 
     def close(self) -> None:
-        for one in (self.listener, *self.waiting):
-            one.close()
+        for sock in (self.listener, *self.waiting):
+            sock.close()
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
-def test_a_connection_that_does_not_come_up_costs_a_moment_and_the_request_goes_elsewhere(kind: str) -> None:
-    """Nothing was sent to the first one, so that it does no harm to a request that may run once only."""
+def test_a_request_fails_over_quickly_when_a_connection_is_not_established(kind: str) -> None:
+    """Nothing was sent to the first backend, so the retry is safe even for requests that must run at most once."""
 
     async def play() -> None:
-        silent = FullQueue()
-        booking, at = await answering()
-        program, public = await front(kind, silent.at, at)
+        silent = FullListenQueue()
+        booking, address = await start_answering_backend()
+        program, public = await start_proxy(kind, silent.address, address)
         for number in range(6):
             began = time.monotonic()
             answer = await post(public, f"b{number}")
-            assert answer.startswith(b"HTTP/1.1 200") and time.monotonic() - began < SOON
+            assert answer.startswith(b"HTTP/1.1 200") and time.monotonic() - began < FAILOVER_S
         assert booking.seen == [f"b{number}" for number in range(6)]
         program.close()
         silent.close()
@@ -98,27 +98,27 @@
     asyncio.run(asyncio.wait_for(play(), 10.0))
 
 
-class Ending(Booking):
-    """A backend that stands still with what it has read, and whose process ends then."""
+class Crashing(Booking):
+    """A backend that hangs with the request that it has read, and whose process ends then."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         serving = asyncio.ensure_future(super().serve(reader, writer))
-        await asyncio.sleep(STANDS_STILL)
+        await asyncio.sleep(HANG_S)
         serving.cancel()
         writer.transport.abort()
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
-def test_what_a_backend_read_before_it_ended_is_sent_to_another_only_where_that_does_no_harm(kind: str) -> None:
+def test_a_request_that_a_crashed_backend_has_read_is_retried_only_if_it_is_idempotent(kind: str) -> None:
     async def play() -> None:
-        ending = Ending()
-        server = await asyncio.start_server(ending.serve, "127.0.0.1", 0)
-        booking, at = await answering()
-        program, public = await front(kind, server.sockets[0].getsockname()[:2], at)
-        retries = [{}, {}, 1000]  # no quotas, no cold backends, all of the slack
+        crashing = Crashing()
+        server = await asyncio.start_server(crashing.serve, "127.0.0.1", 0)
+        booking, address = await start_answering_backend()
+        program, public = await start_proxy(kind, server.sockets[0].getsockname()[:2], address)
+        retries = [{}, {}, 1000]  # no quotas, no cold backends, the whole retry slack
         program.take(CORE, ["lend", program.session._number(time.monotonic()), [1, "a"], 1, retries])
         answer = await post(public, "b0")
-        assert ending.seen == ["b0"]
+        assert crashing.seen == ["b0"]
         if kind == "idempotent":
             assert booking.seen == ["b0"] and answer.startswith(b"HTTP/1.1 200")
         else:
@@ -128,18 +128,18 @@
     asyncio.run(asyncio.wait_for(play(), 20.0))
 
 
-def test_a_backend_that_stands_still_is_left_alone() -> None:
+def test_a_hanging_backend_gets_no_further_requests() -> None:
     async def play() -> None:
-        still = Booking()
-        server = await asyncio.start_server(still.serve, "127.0.0.1", 0)
-        booking, at = await answering()
-        program, public = await front("idempotent", server.sockets[0].getsockname()[:2], at)
+        hanging = Booking()
+        server = await asyncio.start_server(hanging.serve, "127.0.0.1", 0)
+        booking, address = await start_answering_backend()
+        program, public = await start_proxy("idempotent", server.sockets[0].getsockname()[:2], address)
         await asyncio.gather(*(post(public, f"b{number}") for number in range(4)))
-        held = len(still.seen)
+        received = len(hanging.seen)
         for number in range(4, 12):
             answer = await post(public, f"b{number}")
             assert answer.startswith(b"HTTP/1.1 200") == (f"b{number}" in booking.seen)
-        assert len(still.seen) - held <= 1  # one may try whether it is back
+        assert len(hanging.seen) - received <= 1  # at most one probe whether it has recovered
         program.close()
 
     asyncio.run(asyncio.wait_for(play(), 20.0))
--- a/tests/system/test_whose_answer.py
+++ b/tests/system/test_whose_answer.py
@@ -1,4 +1,4 @@
-"""Connections to backends, on loopback: whose an answer is, and what may be sent again or not at all."""
+"""Connections to backends, on loopback: which request an answer belongs to, and what may be retried."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,15 +17,18 @@
 SHED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-def good(id: bytes) -> bytes:
+def ok_response(id: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %b\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\n%b" % (id, id)
 
 
-def play(do: Callable) -> None:
-    """`do(pool, reads)`: a pool with one backend, which writes what `reads` says to each request that it reads."""
+def play(scenario: Callable) -> None:
+    """Run `scenario(pool, responses, writers)` with a pool of one backend.
+
+    The backend takes the first item of `responses` for each request that it reads; `writers` has its connections.
+    """
     async def run() -> None:
         loop, writers = asyncio.get_running_loop(), []
-        says: list[bytes] = []
+        responses: list[bytes] = []
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
@@ -34,14 +37,14 @@
                     await reader.readuntil(b"\r\n\r\n")
                 except (asyncio.IncompleteReadError, ConnectionError):
                     return
-                writer.write(says.pop(0))
+                writer.write(responses.pop(0))
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         pool = SystemBackends(loop, 10, 0.5, 0.0, Budget(1 << 20))
         pool.follow(api.Roster(api.RosterKind.FULL, 0, [api.BackendEntry("b", api.BackendState.READY)]),
                     {"b": server.sockets[0].getsockname()[:2]})
         async with asyncio.timeout(5.0):
-            await do(pool, says, writers)
+            await scenario(pool, responses, writers)
         pool.close()
         server.close()
         await asyncio.sleep(0)
@@ -59,43 +62,47 @@
 
 
 @pytest.mark.parametrize("once", [True, False])
-def test_a_refusal_that_comes_twice_does_not_say_of_the_next_request_that_it_never_ran(once: bool) -> None:
-    """Its second copy comes in the place of the next answer, and bears no id: who may run once goes elsewhere."""
-    async def do(pool, says: list, writers: list) -> None:
-        says += [SHED, SHED + good(b"i2")]      # the copy, written as the next request is read
+def test_a_duplicated_refusal_is_not_taken_for_the_answer_to_the_next_request(once: bool) -> None:
+    """The second copy arrives in place of the next answer and carries no id, so it proves nothing about that request.
+
+    A request that must run at most once uses another connection.
+    """
+    async def scenario(pool, responses: list, writers: list) -> None:
+        responses += [SHED, SHED + ok_response(b"i2")]  # the copy, written when the next request is read
         assert await send(pool, b"i1", once) is S.FULL
         if not once:
-            assert await send(pool, b"i2", once) is S.FULL      # sent again elsewhere, which does no harm
+            assert await send(pool, b"i2", once) is S.FULL      # retried elsewhere, which is safe
             return
-        says[:] = [good(b"i2"), good(b"i3")]
+        responses[:] = [ok_response(b"i2"), ok_response(b"i3")]
         assert await send(pool, b"i2") is S.OK and len(writers) == 2 and len(pool.upstreams["b"].idle) == 1
-        assert await send(pool, b"i3") is S.OK and len(writers) == 2    # that connection is beyond doubt
-    play(do)
+        assert await send(pool, b"i3") is S.OK and len(writers) == 2    # the connection is known to be in step
+    play(scenario)
 
 
-def test_a_second_attempt_of_one_request_does_not_read_the_first_ones_answer_again() -> None:
-    named = SHED.replace(b"X-Not", b"X-Attempt-Id: i1\r\nX-Not")
+def test_a_second_attempt_does_not_take_the_answer_to_the_first_one() -> None:
+    shed_with_id = SHED.replace(b"X-Not", b"X-Attempt-Id: i1\r\nX-Not")
 
-    async def do(pool, says: list, writers: list) -> None:
-        says += [named, good(b"i1")]
+    async def scenario(pool, responses: list, writers: list) -> None:
+        responses += [shed_with_id, ok_response(b"i1")]
         assert await send(pool, b"i1") is S.FULL
         assert await send(pool, b"i1") is S.OK and len(writers) == 2
-        says += [good(b"i3")]
+        responses += [ok_response(b"i3")]
         assert await send(pool, b"i3") is S.OK and len(writers) == 2
-    play(do)
+    play(scenario)
 
 
-def test_what_its_client_gave_up_while_the_connection_came_up_is_not_sent() -> None:
-    async def do(pool, says: list, writers: list) -> None:
+def test_a_request_cancelled_by_its_client_during_the_connect_is_not_sent() -> None:
+    async def scenario(pool, responses: list, writers: list) -> None:
         assert await send(pool, b"i1", may=lambda: False) is S.MOOT
-        assert not says and not pool.all - {c for c in pool.all if c.closed}
-    play(do)
+        assert not responses and not pool.all - {c for c in pool.all if c.closed}
+    play(scenario)
 
 
-@pytest.mark.parametrize("status, write, gets", [(503, True, "failed"), (429, True, "failed"), (421, True, "failed"),
-                                                 (500, True, 500), (504, True, 504), (503, False, 503)])
-def test_a_backends_status_that_promises_what_it_has_not_said_is_not_passed_on(status, write, gets) -> None:
-    """503 without the field that proves it: the request may have run, and to a client it says that it never will."""
+@pytest.mark.parametrize("status, write, expected", [
+    (503, True, "failed"), (429, True, "failed"), (421, True, "failed"), (500, True, 500), (504, True, 504),
+    (503, False, 503)])
+def test_a_status_that_falsely_promises_no_execution_is_not_passed_on(status, write, expected) -> None:
+    """A 503 without the header that proves it: the request may have run, but a client takes a 503 for "never ran"."""
     class Client:
         got = None
 
@@ -116,12 +123,12 @@
         asked = Asked(b"i1", 0, 0, 0, 1.0, 1.0, 1.0, 0.0, False, write, b"", b"")
         host.tickets[1] = Ticket(1, asked, client, 1.0, last=Answer(status, [], b""))
         host._fail(api.Fail(1))
-        assert client.got == gets
+        assert client.got == expected
     asyncio.run(run())
 
 
-class Wire:
-    """A transport that keeps what is written."""
+class RecordingTransport:
+    """A transport that records what is written."""
 
     def __init__(self) -> None:
         self.written, self.closed = b"", False
@@ -133,20 +140,21 @@
         self.closed = True
 
 
-def test_calls_of_one_connection_get_their_answers_in_turn_and_none_of_another() -> None:
+def test_pipelined_calls_of_one_connection_get_their_answers_in_order() -> None:
     async def run() -> None:
-        begun: list[Asking] = []
-        visit, wire = Visit(Web(asyncio.get_running_loop(), begun.append), "control_plane"), Wire()
-        visit.connection_made(wire)
+        requests: list[Asking] = []
+        connection, transport = (
+            Visit(Web(asyncio.get_running_loop(), requests.append), "control_plane"), RecordingTransport())
+        connection.connection_made(transport)
         path = b"/api/evacuation/za HTTP/1.1\r\n"
-        visit.data_received(b"POST " + path + b"\r\nDELETE " + path + b"Expect: 100-continue\r\n\r\n")
-        assert [a.call for a in begun] == [find("control_plane", "POST", "/api/evacuation/za")[0]]
-        assert not wire.written     # a word to go on would pass for the first one's
-        begun[0].answer(Reply(200, {"first": 1}))
-        begun[0].answer(Reply(503))     # once only
-        assert len(begun) == 2 and wire.written.count(b"HTTP/1.1") == 1
-        visit.data_received(b"GET /api/status HTTP/1.1\r\n\r\n")
-        visit.connection_lost(None)
-        begun[1].answer(Reply(200, {"second": 2}))
-        assert begun[1].gone and len(begun) == 2 and b"second" not in wire.written
+        connection.data_received(b"POST " + path + b"\r\nDELETE " + path + b"Expect: 100-continue\r\n\r\n")
+        assert [request.call for request in requests] == [find("control_plane", "POST", "/api/evacuation/za")[0]]
+        assert not transport.written    # a "100 Continue" now would pass for the answer to the first call
+        requests[0].answer(Reply(200, {"first": 1}))
+        requests[0].answer(Reply(503))  # ignored: a call is answered once
+        assert len(requests) == 2 and transport.written.count(b"HTTP/1.1") == 1
+        connection.data_received(b"GET /api/status HTTP/1.1\r\n\r\n")
+        connection.connection_lost(None)
+        requests[1].answer(Reply(200, {"second": 2}))
+        assert requests[1].gone and len(requests) == 2 and b"second" not in transport.written
     asyncio.run(run())
