--- a/fennelpoint/system/registry/operator_handlers.py
+++ b/fennelpoint/system/registry/operator_handlers.py
@@ -57,7 +57,7 @@
 
 
 class OperatorHandlers:
-    """Handlers of operators' calls at one core machine: `_call_<name>` for each name in `calls.TABLE`."""
+    """Handlers of operators' calls at one core machine: `_call_<name>` for the call of that name in `calls.TABLE`."""
 
     def __init__(self, registry: RegistryContext) -> None:
         self.registry = registry
@@ -84,8 +84,8 @@
                 short_timeout: bool = False) -> None:
         """Propose a change to the store, and reply with its outcome.
 
-        With a short timeout the change is withdrawn once its caller has gone or the time is up: it must not undo a
-        later change that the operator has made at another machine.
+        With a short timeout the change is withdrawn once its caller has disconnected or the time is up: it must not
+        undo a later change that the operator has made at another machine.
         """
         if short_timeout and request.gone:  # the request waited while this machine was paused
             return self.registry.answer(request, error_reply(503, "the caller has disconnected"))
--- a/fennelpoint/system/registry/pending_calls.py
+++ b/fennelpoint/system/registry/pending_calls.py
@@ -35,7 +35,7 @@
     deadline: float
     holders: set[str] = field(default_factory=set)  # IP addresses of machines that have stored the change
     on_result: Callable[[list], None] | None = None
-    withdraw_if_abandoned: bool = False     # withdraw the change at the deadline, or once the caller has gone
+    withdraw_if_abandoned: bool = False     # withdraw the change at the deadline, or once the caller disconnects
 
 
 def error_reply(status: int, text: str) -> Reply:
--- a/fennelpoint/system/registry/state_machine.py
+++ b/fennelpoint/system/registry/state_machine.py
@@ -71,7 +71,7 @@
         self.backends, self.members = BackendTable(), Members()
         self.cluster_state: dict = {}           # the newest agreed value that is known here
         self.contents: dict[str, bytes] = {}    # compressed configurations by digest
-        # Callbacks that wait for a configuration, by its digest, each with the time since when it waits.
+        # Callbacks that wait for a configuration, by its digest, each with the time when it was added.
         self.content_waiters: dict[str, list[tuple[float, Callable[[], None]]]] = {}
         self.next_content_request_at = now      # while the newest configuration is missing here
         self.connected_proxies: dict[str, int] = {}     # with the list number that each has acknowledged
@@ -94,7 +94,8 @@
         self.current_read: tuple[int, float, list] | None = None    # token, deadline and the requests that it serves
         self.next_gossip_at = self.next_sweep_at = now
         self.recently_heard_ids: set[str] = set()   # backends that sent heartbeats here since the last gossip
-        self.reported_lost_ids: set[str] = set()    # that a proxy counts as lost: it needs an update once one beats
+        # Backends that some proxy counts as lost: proxies need an update at the next heartbeat of one of these.
+        self.reported_lost_ids: set[str] = set()
         self.linked_registries: set[str] = set()    # IP addresses of core machines whose registry is connected
         self.quorum_check = QuorumCheck(node_ip, now)
         self.quorum_since: float | None = None  # since when there is contact with a majority; None: there is none
@@ -175,7 +176,7 @@
             # The restarted store has lost the read: start it anew, so that proxies need not repeat their requests.
             if self.current_read is not None:
                 self.lease_requests, self.current_read = self.current_read[2] + self.lease_requests, None
-            self._start_read(now, own=self.allocation.allocator is not None)
+            self._start_read(now, unpaced=self.allocation.allocator is not None)
         return self._take_actions()
 
     def on_connection_refused(self, peer: str, dialled_at: float, now: float) -> list:
@@ -212,8 +213,8 @@
             self.next_sweep_at = now + 0.25
             self._expire(now)
             self.actions += self.directory.notes(now)
-            # Declares no backends lost without a majority, or just after contact with one: gossip about many live
-            # backends has not arrived here then, and marking them as lost would cause an outage.
+            # No backend is declared lost without a majority, or just after contact with one is regained: gossip about
+            # many live backends has not arrived by then, and marking them as lost would cause an outage.
             if not self.has_quorum(now):
                 if self.quorum_since is not None:
                     self.actions.append(Note("CUT_OFF", {"node": self.node_ip}))
@@ -334,8 +335,8 @@
             return self._answer_after_majority(request, [report.id], now, Reply(200, body))
         if changed or was_silent:
             self._replicate([report.id], now, 0)
-        # Without a majority the report is replicated all the same, but may reach nobody: 503 sends the backend to
-        # another core machine.
+        # Without a majority the report is replicated all the same, but may not reach any machine: 503 sends the
+        # backend to another core machine.
         self.answer(request, Reply(200, body) if self.has_quorum(now) else
                     error_reply(503, "this machine has no contact with a majority"))
 
@@ -405,7 +406,8 @@
             for proxy in self.connected_proxies:
                 self.send(proxy, ["fronts", ready_proxies])
         in_quorum = self.has_quorum(now)
-        # Includes connected registries that are not members yet: the change that adds one may not be agreed so far.
+        # Includes connected registries that are not members yet: until the change that adds one is agreed, no other
+        # machine sends it gossip.
         for peer in sorted({*self.other_registries, *(name("roll", ip) for ip in self.linked_registries)}):
             self.send(peer, ["heard", heard_ids, full, digests,
                              self.quorum_check.gossip_header(ip_of(peer), in_quorum, now)])
@@ -540,16 +542,16 @@
 
     def request_read(self, now: float) -> None:
         """Start a read of the agreed state for this machine itself, not on behalf of a proxy."""
-        self._start_read(now, own=True)
+        self._start_read(now, unpaced=True)
 
-    def _start_read(self, now: float, own: bool = False) -> None:
+    def _start_read(self, now: float, unpaced: bool = False) -> None:
         """Read the newest agreed state, one read at a time and paced; it serves all requests that came before it.
 
-        Each read asks a majority in other regions: with many proxies, unpaced reads would follow each other without
-        a pause.
+        Each read queries a majority, in other regions too: with many proxies, reads without pacing would follow each
+        other at once.  An unpaced read does not wait for the interval.
         """
         if self.current_read is None and (
-                own or self.lease_requests and now - self.last_read_started_at >= READ_INTERVAL_S):
+                unpaced or self.lease_requests and now - self.last_read_started_at >= READ_INTERVAL_S):
             self.last_token += 1
             lease_requests, self.lease_requests = self.lease_requests, []
             self.last_read_started_at = now
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -138,10 +138,10 @@
     """The sender may have lost its disk since then; a configuration must be on a majority before it is agreed."""
     def started(seed: int) -> tuple[Store, int]:
         cell = Cell(FOUNDED, FOUNDED, empty(dict.fromkeys(("v1", "v2", "v3"), "z")))
-        one = Store("v3", "z", {}, ["v1", "v2", "v3"], Keeper("v3", 1, True, {}, {KEY: cell}), False, {}.get,
-                    Random(seed), 0.0)
-        actions = one.heard("roll", ["change", 1, "put", [3, 0, "s", "d"], b"data"], 0.0)
-        return one, next(a.message[1] for a in actions if isinstance(a, Send) and a.message[0] == "store")
+        replica_store = Store("v3", "z", {}, ["v1", "v2", "v3"], Keeper("v3", 1, True, {}, {KEY: cell}), False,
+                              {}.get, Random(seed), 0.0)
+        actions = replica_store.heard("roll", ["change", 1, "put", [3, 0, "s", "d"], b"data"], 0.0)
+        return replica_store, next(a.message[1] for a in actions if isinstance(a, Send) and a.message[0] == "store")
 
     (_, old_number), (store, number) = sorted((started(1), started(2)), key=lambda pair: -pair[1])
     actions = store.heard("v1", ["stored", old_number, "v1", "d"], 0.1)
@@ -155,8 +155,8 @@
     value, newer = empty(dict.fromkeys(("v1", "v2", "v3"), "z")), None
     newer = {**value, "rev": 2, "version": 7}
     old, new = Cell(FOUNDED, FOUNDED, value), Cell((5, "p"), (5, "p"), newer)
-    held = {n: Keeper(n, 1, True, {}, {KEY: old}) for n in ("v1", "v2", "v3")}
-    reader = Store("v3", "z", {}, ["v1", "v2", "v3"], held["v3"], False, {}.get, Random(1), 0.0)
+    disks = {n: Keeper(n, 1, True, {}, {KEY: old}) for n in ("v1", "v2", "v3")}
+    reader = Store("v3", "z", {}, ["v1", "v2", "v3"], disks["v3"], False, {}.get, Random(1), 0.0)
     requests = {a.to: a.message for a in reader.heard("roll", ["read", 9], 0.0) + reader.tick(0.2)
             if isinstance(a, Send) and a.message[0] == "peek"}
 
@@ -168,8 +168,8 @@
         return message
 
     first = answer(store("v1", Keeper("v1", 1, True, {}, {KEY: new})))
-    held["v2"], _ = handle(held["v2"], Hello("v1", 2))
-    second = answer(store("v2", Keeper("v2", 1, True, held["v2"].lives, {KEY: new})))
+    disks["v2"], _ = handle(disks["v2"], Hello("v1", 2))
+    second = answer(store("v2", Keeper("v2", 1, True, disks["v2"].lives, {KEY: new})))
     actions = reader.heard("v1", first, 0.2) + reader.heard("v2", second, 0.2)
     assert not [a for a in actions if isinstance(a, Send) and a.message[0] == "newest"]
     # Once V1 stores the value in its new incarnation as well, the two are a majority.
@@ -184,16 +184,16 @@
     Believing it, the new allocator would grant those shares a second time.
     """
     allocator = Allocator([2, "b"], ["f", "g"], 10.0)
-    late = allocator.want("f", 1, "ra", [[0, ""], 0], {}, None, {"t": 20.0}, {}, 10.1)
-    other = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.2)
-    assert late is None and (other is None or not other.quotas)
-    held = [{"t": 900}, {}, 0, [2, "b"], GRANT_LIFE]
-    allocator.want("f", 2, "ra", [[1, "a"], 7], {"t": 1}, held, {"t": 20.0}, {}, 10.3)
-    other = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.4)
-    assert 0 < other.quotas["t"] <= WHOLE - 900
+    delayed = allocator.want("f", 1, "ra", [[0, ""], 0], {}, None, {"t": 20.0}, {}, 10.1)
+    other_grant = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.2)
+    assert delayed is None and (other_grant is None or not other_grant.quotas)
+    held_shares = [{"t": 900}, {}, 0, [2, "b"], GRANT_LIFE]
+    allocator.want("f", 2, "ra", [[1, "a"], 7], {"t": 1}, held_shares, {"t": 20.0}, {}, 10.3)
+    other_grant = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.4)
+    assert 0 < other_grant.quotas["t"] <= WHOLE - 900
     # Nor does a request that was made to the previous allocator.
-    another = Allocator([3, "c"], ["f", "g"], 20.0)
-    assert another.want("f", 2, "ra", [[1, "a"], 7], {}, held, {"t": 20.0}, {}, 20.1) is None
+    new_allocator = Allocator([3, "c"], ["f", "g"], 20.0)
+    assert new_allocator.want("f", 2, "ra", [[1, "a"], 7], {}, held_shares, {"t": 20.0}, {}, 20.1) is None
 
 
 def test_a_delayed_request_of_an_earlier_incarnation_takes_nothing_from_the_live_one() -> None:
@@ -202,13 +202,13 @@
     grant = allocator.want("f", 2, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.2)
     assert grant.quotas["t"] > 600
     allocator.want("f", 1, "ra", [[2, "b"], 0], {}, None, rates, {}, 10.3)    # delayed: that incarnation has ended
-    other = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.4)
-    assert other.quotas["t"] <= WHOLE - grant.quotas["t"]
+    other_grant = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.4)
+    assert other_grant.quotas["t"] <= WHOLE - grant.quotas["t"]
     assert allocator.want("f", 2, "ra", [[2, "b"], grant.number], {"t": 50}, None, rates, {}, 10.5) is not None
 
 
 def test_a_restarted_proxy_takes_no_shares_of_an_allocator_that_was_replaced() -> None:
-    """The new allocator knows only the proxy's earlier incarnation: it does not count late grants of the old one."""
+    """The new allocator knows only the proxy's earlier incarnation: the old one's last grants are in no sum of it."""
     proxy = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {"life": 2}, 0.0, applied="d")
     proxy.lists.add("roll@a")
     number = proxy._number(0.0)
