--- a/fennelpoint/system/registry/state_machine.py
+++ b/fennelpoint/system/registry/state_machine.py
@@ -406,23 +406,23 @@
             for proxy in self.connected_proxies:
                 self.send(proxy, ["fronts", ready_proxies])
         in_quorum = self.has_quorum(now)
-        # Includes connected registries that are not members yet: until the change that adds one is agreed, no other
-        # machine sends it gossip.
+        # Includes connected registries that are not members yet: until the change that adds one is agreed, only the
+        # machines that are connected to it know of it.
         for peer in sorted({*self.other_registries, *(name("roll", ip) for ip in self.linked_registries)}):
             self.send(peer, ["heard", heard_ids, full, digests,
                              self.quorum_check.gossip_header(ip_of(peer), in_quorum, now)])
 
     def _on_heard(self, peer: str, now: float, heard_ids: list, full: list, digests: list, header: list) -> None:
         self.quorum_check.on_gossip(ip_of(peer), *header, now)
-        delay = self.quorum_check.possible_delay_s(now)
+        delay_s = self.quorum_check.possible_delay_s(now)
         if unknown := [id for id in heard_ids if id not in self.backends.by_id]:
             # The first report on it was sent before the sender knew this machine as a member.
             self.send(peer, ["heard_of", unknown])
-        revived = [id for id in heard_ids if self.backends.refresh(id, delay, now) or id in self.reported_lost_ids]
+        revived = [id for id in heard_ids if self.backends.refresh(id, delay_s, now) or id in self.reported_lost_ids]
         if revived:
             self.actions.append(Note("FOUND", {"ids": ", ".join(revived)}))
             self._publish(revived, now)
-        if unknown := self.members.take(full, digests, delay, now):
+        if unknown := self.members.take(full, digests, delay_s, now):
             self.send(peer, ["fronts_of", unknown])
 
     def _on_fronts_of(self, peer: str, now: float, numbers: list) -> None:
