--- a/benchmarks/allocation.py
+++ b/benchmarks/allocation.py
@@ -40,14 +40,14 @@
         asked = {f"t{random.randrange(tenants)}": random.randint(1, 5) for _ in range(6)} | {"t0": 3, "t1": 2}
         begun = time.thread_time()
         region = REGIONS[counts["ask"] % len(REGIONS)]
-        grant = allocator.want(name, 1, region, [TERM, seen[name]], asked, None, rates, bears, now)
+        grant = allocator.request_grant(name, 1, region, [TERM, seen[name]], asked, None, rates, bears, now)
         spent["ask"] += time.thread_time() - begun
         counts["ask"] += 1
         seen[name] = grant.number
         for _ in range(DRAWS_PER_SECOND // ASKS_PER_SECOND):
             needs = {f"t{random.randrange(tenants)}": 1}
             begun = time.thread_time()
-            allocator.draw(name, needs, rates, bursts, 20.0, now)
+            allocator.take_from_pools(name, needs, rates, bursts, 20.0, now)
             spent["draw"] += time.thread_time() - begun
             counts["draw"] += 1
         now += step
--- a/benchmarks/drawn_histories.py
+++ b/benchmarks/drawn_histories.py
@@ -23,7 +23,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, run_state_machine_as_test
 
 TESTS = Path(__file__).parent.parent / "tests" / "system"
-MACHINES = {"parts": ("test_parts", "Lending"), "duty": ("test_leader_lease_histories", "Holding")}
+MACHINES = {"parts": ("test_parts", "AllocationMachine"), "duty": ("test_leader_lease_histories", "LeaseMachine")}
 STEPS = 40
 
 
--- a/fennelpoint/system/proxy/core_session.py
+++ b/fennelpoint/system/proxy/core_session.py
@@ -16,7 +16,7 @@
 from fennelpoint.system.proxy.core_choice import CoreChoice
 from fennelpoint.system.proxy.session_actions import Apply, Extend, Hold, Lend, Parts, Refresh, Units
 from fennelpoint.system.registry.backend_table import Backends, Told
-from fennelpoint.system.registry.grants import DRAW_LIFE, GRANT_LIFE
+from fennelpoint.system.registry.grants import GRANT_TTL_S, POOL_UNIT_TTL_S
 from fennelpoint.system.rendezvous_hashing import preference
 from fennelpoint.system.settings import Bounds
 
@@ -83,7 +83,7 @@
 
     def _number(self, now: float) -> int:
         """The number of an ask or a draw that is sent now."""
-        while self.asks and now - next(iter(self.asks.values())) > max(GRANT_LIFE, self.lease_s):
+        while self.asks and now - next(iter(self.asks.values())) > max(GRANT_TTL_S, self.lease_s):
             del self.asks[next(iter(self.asks))]
         self.numbers += 1
         self.asks[self.numbers] = now
@@ -236,7 +236,7 @@
                   soon: list) -> None:
         """Units of the pool, for a draw of ours; one that is answered twice brings them once."""
         if (sent := self.asks.pop(number, None)) is not None and tuple(term) >= tuple(self.fence):
-            self.out.append(Units(given, denied, soon, sent + DRAW_LIFE))
+            self.out.append(Units(given, denied, soon, sent + POOL_UNIT_TTL_S))
 
     def say(self, now: float) -> list:
         """Tell at once that something of ours has changed."""
@@ -313,11 +313,11 @@
             return
         self.holds = False
         if parts is None:
-            self.parts.until = max(self.parts.until, sent + GRANT_LIFE)
+            self.parts.until = max(self.parts.until, sent + GRANT_TTL_S)
             self.out.append(Extend())
             return
         quotas, cold, slack = parts
-        self.parts = Parts(term, number, quotas, cold, slack, sent + GRANT_LIFE)
+        self.parts = Parts(term, number, quotas, cold, slack, sent + GRANT_TTL_S)
         self.lent = now < self.parts.until
         self.out.append(Lend())
 
--- a/fennelpoint/system/proxy/events.py
+++ b/fennelpoint/system/proxy/events.py
@@ -11,7 +11,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.system.proxy.session_actions import Parts
-from fennelpoint.system.registry.grants import WHOLE
+from fennelpoint.system.registry.grants import TOTAL_SHARES
 
 SLACK_PART = 0.9  # of the retry rule's slack, used: the rest pays for rounding, and for delays on the way
 
@@ -81,6 +81,6 @@
 
 def leased_shares(parts: Parts, plans: dict[str, int], slack: float) -> LeasedShares:
     """What a proxy may use by the parts that it holds; `plans` are numbers by tenant, `slack` is the retry rule's."""
-    shares = {plans[tenant]: part / WHOLE for tenant, part in parts.quotas.items() if tenant in plans}
+    shares = {plans[tenant]: part / TOTAL_SHARES for tenant, part in parts.quotas.items() if tenant in plans}
     until = parts.until if parts.number else inf  # without a grant there is nothing that could end
-    return LeasedShares(shares, SLACK_PART * slack * parts.slack / WHOLE, parts.number > 0, until)
+    return LeasedShares(shares, SLACK_PART * slack * parts.slack / TOTAL_SHARES, parts.number > 0, until)
--- a/fennelpoint/system/registry/allocation_leader.py
+++ b/fennelpoint/system/registry/allocation_leader.py
@@ -1,7 +1,7 @@
-"""The duty of allocating parts: one core machine at a time does it, by a lease that a majority granted and by a term.
+"""Leadership of the allocation: one core machine at a time allocates, by a majority's lease and by an agreed term.
 
-A part of `state_machine.Desk`.  Whoever is granted the duty asks the store for a term, a number that is agreed
-since no registry remembers one, and allocates by that until another term is known to have begun.
+A part of the registry's state machine.  The holder of the leader lease asks the store for a term: a number agreed by
+consensus, since no registry remembers one.  It allocates in that term until another term is known to have begun.
 """
 
 from __future__ import annotations
@@ -11,24 +11,26 @@
 
 from fennelpoint.system.actions import Note
 from fennelpoint.system.mesh import ip_of, name
-from fennelpoint.system.registry.allocation_parameters import ColdBackends, Figures
-from fennelpoint.system.registry.allocator import HOLD, Allocator
+from fennelpoint.system.registry.allocation_parameters import AllocationParameters, ColdBackends
+from fennelpoint.system.registry.allocator import READ_VALIDITY_S, Allocator
 from fennelpoint.system.registry.backend_table import Backends
-from fennelpoint.system.registry.leader_lease import Duty
-from fennelpoint.system.registry.proxy_enrollment import Roster
+from fennelpoint.system.registry.leader_lease import LeaderLease
+from fennelpoint.system.registry.proxy_enrollment import ProxyEnrollment
 from fennelpoint.system.settings import Bounds
 
-LEAD_AGAIN = 3.8  # s for the store to number a term: it tells before, unless it has ended
-LEADER_SILENT = 0.4  # s in which whoever a term was given to says that it leads, else it does not
-OUTDATED_FIGURES = 2.0  # s that draws are granted by a configuration that is not the newest, while that comes
+TERM_REQUEST_TIMEOUT_S = 3.8  # for the store to number a term: it answers earlier, unless its process has ended
+LEADER_ANNOUNCEMENT_TIMEOUT_S = 0.4  # after which a new term without an announced leader counts as having none
+OUTDATED_PARAMETERS_S = 2.0  # for which pool units are granted by an older configuration while the newest is fetched
 
 
-# Messages between core machines and from fronts that are the duty's, each with a method `on_...`.
-MESSAGES = frozenset(("claim", "released", "granted", "leads", "want", "draw", "drawn", "units", "lend", "tell"))
+# Messages from core machines and proxies that are handled here, each by a method `on_...`.
+ALLOCATION_MESSAGES = frozenset(
+    ("claim", "released", "granted", "leads", "want", "draw", "drawn", "units", "lend", "tell")
+)
 
 
 class Registry(Protocol):
-    """What the duty needs of the desk that it is a part of."""
+    """What the allocation needs of the registry that it is a part of."""
 
     me: str
     store: str
@@ -49,257 +51,266 @@
     def read_for_itself(self, now: float) -> None: ...
 
 
-class AllocationDuty:
-    """One core machine's part in it."""
+class AllocationLeader:
+    """One core machine's part in the election of the allocator, and the allocator while this machine leads."""
 
-    def __init__(self, registry: Registry, duty: Duty, cold: ColdBackends) -> None:
+    def __init__(self, registry: Registry, lease: LeaderLease, cold: ColdBackends) -> None:
         self.registry = registry
-        self.duty = duty
+        self.lease = lease
         self.cold = cold
-        self.allocator: Allocator | None = None  # while the duty is ours and its term has begun
-        self.leading: tuple[int, float] | None = None  # the call for our term's number, and when to call again
-        self.wait_until = -1e9  # until when whoever has a term that passed ours may say that it leads
-        self.roster = Roster()  # of our term
-        self.figures = Figures()
-        self.behind_since = 0.0  # since when the figures are not the newest configuration's
+        self.allocator: Allocator | None = None  # while this machine holds the lease and its term has begun
+        self.term_request: tuple[int, float] | None = None  # its token, and when to repeat it
+        self.wait_until = -1e9  # until then, the machine of a term that overtook ours may announce that it leads
+        self.enrollment = ProxyEnrollment()  # of this machine's term
+        self.parameters = AllocationParameters()
+        self.outdated_since = 0.0  # since when the parameters are not those of the newest configuration
 
     # The lease and the term
 
     def tick(self, now: float, claims: bool) -> None:
-        """What is due; `claims`: this machine may ask for the duty."""
-        if self.allocator is not None and not self.duty.holds(now):
-            self.duty.leave()
-            self._yield("no majority grants it any more")
-        self._claim(now, claims)
-        self._release(now)
-        if self.allocator is not None and now - self.registry.read_at > HOLD / 3:
+        """Do what is due; `claims`: this machine may claim the lease."""
+        if self.allocator is not None and not self.lease.holds(now):
+            self.lease.drop()
+            self._step_down("no majority grants the lease any more")
+        self._claim_lease(now, claims)
+        self._announce_release(now)
+        if self.allocator is not None and now - self.registry.read_at > READ_VALIDITY_S / 3:
             self.registry.read_for_itself(now)
-        self._see_to_term(now)
-        self._tend_roster(now)
-
-    def _see_to_term(self, now: float) -> None:
-        """Whoever holds the duty has a term that leads or a call for one out, and nobody else has."""
-        if not self.duty.holds(now):
-            if self.leading is not None:
-                # Guards whoever holds the duty by then: a term that was numbered for us would pass its own.
-                self.registry.send(self.registry.store, ["withdraw", self.leading[0]])
-                self.leading = None
-        elif self.leading is not None:
-            if now >= self.leading[1]:
-                self.lead(now)
+        self._maintain_term(now)
+        self._update_enrollment(now)
+
+    def _maintain_term(self, now: float) -> None:
+        """Ensure that only the holder of the lease has a leading term or a pending request for a term."""
+        if not self.lease.holds(now):
+            if self.term_request is not None:
+                # Protects the current holder: a term numbered for this machine now would overtake the holder's term.
+                self.registry.send(self.registry.store, ["withdraw", self.term_request[0]])
+                self.term_request = None
+        elif self.term_request is not None:
+            if now >= self.term_request[1]:
+                self.request_term(now)
         elif self.allocator is None and now >= self.wait_until:
-            self.lead(now)
+            self.request_term(now)
 
     def resign(self) -> None:
-        """This machine leaves: the next in line need not wait for the lease to end."""
+        """Give up the lease as this machine shuts down: the next one need not wait for the lease to expire."""
         if self.allocator is not None:
-            self._note("YIELDS", reason="it leaves")
+            self._log("YIELDS", reason="this machine shuts down")
         self.allocator = None
-        self.duty.resign()
+        self.lease.resign()
 
     def store_restarted(self, now: float) -> None:
-        """The store has forgotten what was asked of it."""
-        self.leading = (0, now) if self.leading is not None else None
-        self.roster.forgotten()
+        """Repeat what was requested of the store, which has lost it."""
+        self.term_request = (0, now) if self.term_request is not None else None
+        self.enrollment.store_restarted()
 
-    def _yield(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         self.allocator = None
-        self._note("YIELDS", reason=reason)
+        self._log("YIELDS", reason=reason)
 
-    def _claim(self, now: float, claims: bool) -> None:
+    def _claim_lease(self, now: float, claims: bool) -> None:
         registry = self.registry
-        line = sorted(registry.world["voters"]) if registry.world else []
-        if not claims or registry.me not in line:
+        candidates = sorted(registry.world["voters"]) if registry.world else []
+        if not claims or registry.me not in candidates:
             return
-        whole = registry.majority({registry.me, *registry.links})
-        if (term := self.duty.due(now, line.index(registry.me), whole)) is None:
+        hears_majority = registry.majority({registry.me, *registry.links})
+        if (term := self.lease.next_claim(now, candidates.index(registry.me), hears_majority)) is None:
             return
-        held = self.duty.holds(now)
-        self._tell_others(["claim", list(term), held, self.duty.claims])
-        if (firm := self.duty.claimed(term, held, self.duty.claims, now)) is not None:
-            self._voted(term, self.duty.claims, registry.me, firm, now)
+        is_holder = self.lease.holds(now)
+        self._broadcast(["claim", list(term), is_holder, self.lease.last_claim])
+        if (is_firm := self.lease.handle_claim(term, is_holder, self.lease.last_claim, now)) is not None:
+            self._count_grant(term, self.lease.last_claim, registry.me, is_firm, now)
 
-    def _release(self, now: float) -> None:
-        if self.duty.left is None:
+    def _announce_release(self, now: float) -> None:
+        if self.lease.released_term is None:
             return
-        self._tell_others(["released", list(self.duty.left), self.duty.claims])
-        self.duty.released(self.duty.left, self.duty.claims, now)
-        self.duty.left = None
-
-    def on_claim(self, peer: str, now: float, term: list, held: bool, number: int) -> None:
-        if (firm := self.duty.claimed(tuple(term), held, number, now)) is not None:
-            self.registry.send(peer, ["granted", term, number, firm])
-
-    def on_released(self, peer: str, now: float, term: list, number: int) -> None:
-        self.duty.released(tuple(term), number, now)
-
-    def on_granted(self, peer: str, now: float, term: list, number: int, firm: bool) -> None:
-        if tuple(term) != self.duty.term:  # it hears of our release before that claim, or not at all
-            return self.registry.send(peer, ["released", term, number])
-        self._voted(tuple(term), number, ip_of(peer), firm, now)
-
-    def _voted(self, term: tuple, number: int, by: str, firm: bool, now: float) -> None:
+        self._broadcast(["released", list(self.lease.released_term), self.lease.last_claim])
+        self.lease.handle_release(self.lease.released_term, self.lease.last_claim, now)
+        self.lease.released_term = None
+
+    def on_claim(self, peer: str, now: float, term: list, is_holder: bool, claim: int) -> None:
+        """Handle another machine's claim of the lease."""
+        if (is_firm := self.lease.handle_claim(tuple(term), is_holder, claim, now)) is not None:
+            self.registry.send(peer, ["granted", term, claim, is_firm])
+
+    def on_released(self, peer: str, now: float, term: list, claim: int) -> None:
+        """Handle another machine's release of the lease, or of claims that failed."""
+        self.lease.handle_release(tuple(term), claim, now)
+
+    def on_granted(self, peer: str, now: float, term: list, claim: int, is_firm: bool) -> None:
+        """Handle a voter's grant of a claim of this machine."""
+        if tuple(term) != self.lease.term:  # the voter received our release before that claim, or not at all
+            return self.registry.send(peer, ["released", term, claim])
+        self._count_grant(tuple(term), claim, ip_of(peer), is_firm, now)
+
+    def _count_grant(self, term: tuple, claim: int, voter: str, is_firm: bool, now: float) -> None:
         voters: Collection[str] = self.registry.world["voters"] if self.registry.world else self.registry.seeds
-        if self.duty.voted(term, number, by, firm, voters, now):
-            self.lead(now)
+        if self.lease.handle_grant(term, claim, voter, is_firm, voters, now):
+            self.request_term(now)
 
-    def lead(self, now: float) -> None:
-        """The duty is ours: ask the store for a term."""
-        self.leading = (self._change("lead", []), now + LEAD_AGAIN)
+    def request_term(self, now: float) -> None:
+        """Ask the store for a term, as the holder of the lease."""
+        self.term_request = (self._propose("lead", []), now + TERM_REQUEST_TIMEOUT_S)
 
     def term_numbered(self, status: int, world: dict | None, now: float) -> None:
-        """The store's answer to the call for a term."""
-        asked_at = self.leading[1] - LEAD_AGAIN
+        """Handle the store's answer to the request for a term."""
+        requested_at = self.term_request[1] - TERM_REQUEST_TIMEOUT_S
         if status != 200:
-            self.leading = (0, now)
+            self.term_request = (0, now)
             return
-        self.leading = None
-        if not self.duty.holds(now):
+        self.term_request = None
+        if not self.lease.holds(now):
             return
         if world["term"] != self.registry.world["term"]:
-            self.wait_until = now + LEADER_SILENT
+            self.wait_until = now + LEADER_ANNOUNCEMENT_TIMEOUT_S
             return
-        # The term was the newest at some time after it was asked for, which may be long before this answer.
+        # The term was the newest at some time after the request, which may be long before this answer.
         self.allocator = Allocator([world["term"], self.registry.me], world["fronts"], now)
-        self.registry.read_at = asked_at
-        self.roster = Roster()
-        self._note("LEADS", term=world["term"])
+        self.registry.read_at = requested_at
+        self.enrollment = ProxyEnrollment()
+        self._log("LEADS", term=world["term"])
         self._call_fronts(now)
 
     def on_world(self, term: int, now: float) -> None:
-        """The newest agreed value has this term.
+        """Handle the term number of the newest agreed value.
 
-        It may be another's that has lost the duty since it asked; one that leads says so.
+        The term may belong to a machine that has lost the lease since its request; one that leads announces it.
         """
         if self.allocator is not None and term > self.allocator.term[0]:
-            self._yield(f"term {term} has begun")
-            self.wait_until = now + LEADER_SILENT
+            self._step_down(f"term {term} has begun")
+            self.wait_until = now + LEADER_ANNOUNCEMENT_TIMEOUT_S
 
     def on_leads(self, peer: str, now: float, term: list) -> None:
-        """A term has begun: the fronts here ask at once."""
+        """Handle the announcement of a term's leader: the proxies connected here are to send requests at once."""
         number, leader = term
-        if leader != self.registry.me and number >= self.registry.world.get("term", 0) and self.duty.holds(now):
-            self.duty.leave()  # by voters that are not ours any more
-        if self.duty.holder is None or self.duty.holder[1] != leader:
-            self.duty.holder, self.duty.holder_at = (self.duty.highest, leader), now
-        for front in self.registry.fronts:
-            self.registry.send(front, ["tell", term])
+        if leader != self.registry.me and number >= self.registry.world.get("term", 0) and self.lease.holds(now):
+            self.lease.drop()  # it was granted by voters that are no longer the voters
+        if self.lease.holder is None or self.lease.holder[1] != leader:
+            self.lease.holder, self.lease.holder_seen_at = (self.lease.highest_term, leader), now
+        for proxy in self.registry.fronts:
+            self.registry.send(proxy, ["tell", term])
 
     def _call_fronts(self, now: float) -> None:
-        """All fronts are to ask now: we have begun, or know by now what is lent."""
-        self._tell_others(["leads", self.allocator.term])
+        """Ask all proxies for requests now: the term has begun, or all outstanding grants have become known."""
+        self._broadcast(["leads", self.allocator.term])
         self.on_leads(self.registry.me, now, self.allocator.term)
 
-    def _tend_roster(self, now: float) -> None:
+    def _update_enrollment(self, now: float) -> None:
         if self.allocator is None:
             return
         token = self.registry.tokens + 1
-        if (due := self.roster.due(self.allocator, self.registry.world["fronts"], token, now)) is None:
+        if (change := self.enrollment.next_change(self.allocator, self.registry.world["fronts"], token, now)) is None:
             return
-        self._change(*due)
-        if due[0] == "dismiss":
-            self.registry.out.append(Note("DISMISSED", {"fronts": ", ".join(due[1][0])}))
+        self._propose(*change)
+        if change[0] == "dismiss":
+            self.registry.out.append(Note("DISMISSED", {"fronts": ", ".join(change[1][0])}))
 
-    # Parts for fronts
+    # Grants for proxies
 
-    def reckons(self, now: float) -> bool:
-        """Whether parts may be lent from here now.
+    def may_grant(self, now: float) -> bool:
+        """Return whether this machine may grant shares now.
 
-        Guards parts against a reckoner that another has followed: voters change, so that two may hold the duty.
+        The recent read prevents grants by an allocator that another has replaced: voters change, so that two machines
+        may hold the lease.
         """
-        return self.allocator is not None and self.duty.holds(now) and now - self.registry.read_at <= HOLD
+        return self.allocator is not None and self.lease.holds(now) and now - self.registry.read_at <= READ_VALIDITY_S
 
-    def ask(self, now: float, ask: list) -> None:
-        """A front here asks for parts: to whoever allocates."""
+    def forward_request(self, now: float, request: list) -> None:
+        """Pass the request for shares of a proxy connected here to the allocator."""
         if self.allocator is not None:
-            self.on_want(name("roll", self.registry.me), now, *ask)
-        elif self.duty.holder is not None:
-            self.registry.send(name("roll", self.duty.holder[1]), ["want", *ask])
+            self.on_want(name("roll", self.registry.me), now, *request)
+        elif self.lease.holder is not None:
+            self.registry.send(name("roll", self.lease.holder[1]), ["want", *request])
 
     def on_want(
         self,
         peer: str,
         now: float,
         ip: str,
-        life: int,
+        incarnation: int,
         region: str,
         number: int,
-        seen: list,
-        asked: dict,
+        in_use: list,
+        demand: dict,
         holds: list | None,
     ) -> None:
-        """A front's ask for parts, by way of the registry that it asks."""
-        if not self.reckons(now) or not self.roster.admits(ip, self.registry.world["fronts"]):
+        """Handle a proxy's request for shares, which the registry `peer` passes on."""
+        if not self.may_grant(now) or not self.enrollment.admits(ip, self.registry.world["fronts"]):
             return
         self.allocator.enrol([ip], now)
-        before = self.allocator.settled(now)
-        cold = self.cold.bears(self.registry.backends.known, self.figures, now)
-        grant = self.allocator.want(ip, life, region, seen, asked, holds, self.figures.rates, cold, now)
+        all_known_before = self.allocator.all_grants_known(now)
+        cold = self.cold.rates(self.registry.backends.known, self.parameters, now)
+        grant = self.allocator.request_grant(
+            ip, incarnation, region, in_use, demand, holds, self.parameters.rates, cold, now
+        )
         self._report_violations()
         term = self.allocator.term
         if grant is None:
-            self._answer(peer, ["tell", ip, term])
+            self._reply(peer, ["tell", ip, term])
         else:
-            content = None if [term, grant.number] == seen else grant.pack()
-            self._answer(peer, ["lend", ip, number, term, grant.number, content])
-        if not before and self.allocator.settled(now):
+            content = None if [term, grant.number] == in_use else grant.pack()
+            self._reply(peer, ["lend", ip, number, term, grant.number, content])
+        if not all_known_before and self.allocator.all_grants_known(now):
             self._call_fronts(now)
 
     def _report_violations(self) -> None:
-        if found := self.allocator.violations:
-            self.registry.out += found
-            found.clear()
+        if violations := self.allocator.violations:
+            self.registry.out += violations
+            violations.clear()
 
     def on_draw(self, peer: str, now: float, number: int, needs: dict) -> None:
-        """A front asks for units of tenants that have no part there."""
+        """Handle the request of a proxy connected here for units of tenants of whose quota it holds no shares."""
         if self.allocator is not None:
             self.on_drawn(name("roll", self.registry.me), now, ip_of(peer), number, needs)
-        elif self.duty.holder is not None:
-            self.registry.send(name("roll", self.duty.holder[1]), ["drawn", ip_of(peer), number, needs])
+        elif self.lease.holder is not None:
+            self.registry.send(name("roll", self.lease.holder[1]), ["drawn", ip_of(peer), number, needs])
 
     def on_drawn(self, peer: str, now: float, ip: str, number: int, needs: dict) -> None:
-        """The same, by way of the registry that it asks."""
-        if not self.reckons(now):
+        """Handle a proxy's request for units, which the registry `peer` passes on."""
+        if not self.may_grant(now):
             return
-        # Guards a lower limit: units by the one before it are none of ours to give for long.
-        outdated = self.figures.digest != self.registry.world["digest"]
-        if outdated and now - self.behind_since > OUTDATED_FIGURES:
+        # Enforces a lowered limit: units by the previous limit may be granted for a short time only.
+        is_outdated = self.parameters.digest != self.registry.world["digest"]
+        if is_outdated and now - self.outdated_since > OUTDATED_PARAMETERS_S:
             return
         slack = self.registry.bounds.quota_slack
-        drawn = self.allocator.draw(ip, needs, self.figures.rates, self.figures.bursts, slack, now)
-        if drawn is not None:
-            self._answer(peer, ["units", ip, number, self.allocator.term, *drawn])
+        taken = self.allocator.take_from_pools(ip, needs, self.parameters.rates, self.parameters.bursts, slack, now)
+        if taken is not None:
+            self._reply(peer, ["units", ip, number, self.allocator.term, *taken])
 
     def on_units(self, peer: str, now: float, *rest: object) -> None:
-        self._hand_on(["units", *rest])
+        """Pass the allocator's answer on to the proxy."""
+        self._forward_to_proxy(["units", *rest])
 
     def on_lend(self, peer: str, now: float, *rest: object) -> None:
-        self._hand_on(["lend", *rest])
+        """Pass the allocator's answer on to the proxy."""
+        self._forward_to_proxy(["lend", *rest])
 
     def on_tell(self, peer: str, now: float, *rest: object) -> None:
-        self._hand_on(["tell", *rest])
+        """Pass the allocator's answer on to the proxy."""
+        self._forward_to_proxy(["tell", *rest])
 
-    def _answer(self, peer: str, answer: list) -> None:
+    def _reply(self, peer: str, answer: list) -> None:
         if ip_of(peer) == self.registry.me:
-            self._hand_on(answer)
+            self._forward_to_proxy(answer)
         else:
             self.registry.send(peer, answer)
 
-    def _hand_on(self, answer: list) -> None:
+    def _forward_to_proxy(self, answer: list) -> None:
         kind, ip, *rest = answer
         self.registry.send(name("span", ip), [kind, *rest])
 
-    # Ways out
+    # Output
 
-    def _tell_others(self, message: list) -> None:
+    def _broadcast(self, message: list) -> None:
         for peer in self.registry.others:
             self.registry.send(peer, message)
 
-    def _change(self, kind: str, what: list) -> int:
-        """Proposes a change to the store beside; the token that its answer bears."""
+    def _propose(self, kind: str, arguments: list) -> int:
+        """Propose a change to the store on this machine; return the token that its answer bears."""
         self.registry.tokens += 1
-        self.registry.send(self.registry.store, ["change", self.registry.tokens, kind, what, b""])
+        self.registry.send(self.registry.store, ["change", self.registry.tokens, kind, arguments, b""])
         return self.registry.tokens
 
-    def _note(self, event: str, **what: object) -> None:
-        self.registry.out.append(Note(event, {"node": self.registry.me, **what}))
+    def _log(self, event: str, **fields: object) -> None:
+        self.registry.out.append(Note(event, {"node": self.registry.me, **fields}))
--- a/fennelpoint/system/registry/allocation_parameters.py
+++ b/fennelpoint/system/registry/allocation_parameters.py
@@ -1,4 +1,4 @@
-"""What the allocation of parts goes by: figures of the newest configuration, and what cold backends bear."""
+"""Inputs of the allocation: limits of the newest configuration, and the rates that cold backends can bear."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 from fennelpoint.system.registry.backend_table import READY, Backend
 from fennelpoint.system.settings import Bounds
 
-COLD_PART = 0.9  # of what a cold backend bears, lent out
-GOOD_PER_BACKEND = 0.0002  # s that what cold backends bear is good, for each backend: going through all costs time
+GRANTABLE_COLD_PART = 0.9  # of the rate that a cold backend can bear
+CACHE_TTL_S_PER_BACKEND = 0.0002  # lifetime of cached cold rates, for each backend: iterating over all takes time
 
 
 @dataclass(frozen=True, slots=True)
 class ColdStart:
-    """How a service's backends start."""
+    """How backends of a service start: for how long they are cold, and how many attempts they bear meanwhile."""
 
-    seconds: float = 0.0
-    tries_per_s: float = 0.0
+    duration_s: float = 0.0
+    attempts_per_s: float = 0.0
 
 
 @dataclass(slots=True)
-class Figures:
-    """Of one configuration."""
+class AllocationParameters:
+    """Limits of one configuration."""
 
     digest: str = ""
-    rates: dict[str, float] = field(default_factory=dict)  # units a second by tenant
+    rates: dict[str, float] = field(default_factory=dict)  # units per second by tenant
     bursts: dict[str, float] = field(default_factory=dict)  # units by tenant
     cold_starts: dict[str, ColdStart] = field(default_factory=dict)  # by service
 
     @classmethod
-    def read(cls, digest: str, configuration: Mapping) -> Figures:
-        """From a whole configuration, as an operator sends it."""
+    def from_configuration(cls, digest: str, configuration: Mapping) -> AllocationParameters:
+        """Read the limits from a complete configuration, in the form in which an operator sends it."""
         tenants, services = configuration.get("tenants", ()), configuration["clusters"]
         return cls(
             digest,
@@ -45,30 +45,34 @@
 
 
 class ColdBackends:
-    """What each cold backend bears in a second, and its region; gone through anew once that is a little old."""
+    """The rate that each cold backend can bear, and its region; cached for a short time."""
 
     def __init__(self, bounds: Bounds, regions: Mapping[str, str]) -> None:
         self.bounds = bounds
         self.regions = regions
-        self.restored: dict[str, float] = {}  # zones that were taken back, and when
-        self._bears: dict[str, tuple[int, str]] = {}
-        self._good_until = -1e9
-
-    def bears(self, backends: Mapping[str, Backend], figures: Figures, now: float) -> dict[str, tuple[int, str]]:
-        """Tries a second and region by id, of those that are cold and ready."""
-        if now >= self._good_until:
-            self._bears = dict(self._cold(backends.items(), figures, now))
-            self._good_until = now + GOOD_PER_BACKEND * len(backends)
-        return self._bears
-
-    def _cold(
-        self, backends: Iterable[tuple[str, Backend]], figures: Figures, now: float
+        self.restored_at: dict[str, float] = {}  # when zones were taken back into service, by zone
+        self._rates: dict[str, tuple[int, str]] = {}
+        self._valid_until = -1e9
+
+    def rates(
+        self, backends: Mapping[str, Backend], parameters: AllocationParameters, now: float
+    ) -> dict[str, tuple[int, str]]:
+        """Return attempts per second and region by id, for the backends that are cold and ready."""
+        if now >= self._valid_until:
+            self._rates = dict(self._compute_rates(backends.items(), parameters, now))
+            self._valid_until = now + CACHE_TTL_S_PER_BACKEND * len(backends)
+        return self._rates
+
+    def _compute_rates(
+        self, backends: Iterable[tuple[str, Backend]], parameters: AllocationParameters, now: float
     ) -> Iterable[tuple[str, tuple[int, str]]]:
         for backend_id, backend in backends:
             told = backend.told
             if told.state != READY:
                 continue
-            start = figures.cold_starts.get(told.service, ColdStart())
-            if now < max(backend.cold_until, self.restored.get(told.zone, -1e9) + start.seconds):
-                most = int((start.tries_per_s * self.bounds.cold_overshoot + self.bounds.cold_slack) * COLD_PART)
-                yield backend_id, (max(1, most), self.regions.get(told.zone, ""))
+            start = parameters.cold_starts.get(told.service, ColdStart())
+            if now < max(backend.cold_until, self.restored_at.get(told.zone, -1e9) + start.duration_s):
+                rate = int(
+                    (start.attempts_per_s * self.bounds.cold_overshoot + self.bounds.cold_slack) * GRANTABLE_COLD_PART
+                )
+                yield backend_id, (max(1, rate), self.regions.get(told.zone, ""))
--- a/fennelpoint/system/registry/allocator.py
+++ b/fennelpoint/system/registry/allocator.py
@@ -1,9 +1,9 @@
-"""Parts of what is scarce, lent to fronts so that they add up to the whole at most.
+"""Divides limited resources (quotas, cold-start rates, retry slack) among proxies so that the sum never exceeds them.
 
-What is lent is lent by numbered grants that live as long as a lease.  A grant counts until a later one is known to
-have come, or its life is over by a clock that began later than the front's.  Whoever begins to reckon has forgotten
-everything: each front that may hold parts counts as holding the rest until it has told, or what it held must have
-ended.  Lost and late messages lose room, never the bound.
+Shares are leased by numbered grants.  A grant counts until a later one is known to have arrived, or until it has
+expired by a clock that started later than the proxy's.  A new allocator starts without state: each proxy that may
+hold shares counts as holding the rest until it has reported, or until what it held must have expired.  Lost and late
+messages reduce what can be granted and never break the bound.
 """
 
 from __future__ import annotations
@@ -14,289 +14,338 @@
 
 from fennelpoint.invariants import Invariant
 from fennelpoint.system.actions import Violation
-from fennelpoint.system.registry.grants import COLD_AFTER, GRANT_LIFE, WHOLE, Grant
-from fennelpoint.system.registry.live_proxies import Census
-from fennelpoint.system.registry.outstanding_grants import SLACK_THING, Lent, Thing, most_in_use
-
-SLACK = 0.4         # s more that it counts here
-HOLD = 1.0          # s since a read of its own term that a reckoner may lend: one before us may, so long after us
-ALIVE = 1.8         # s without an ask after which a front gets no more of what is free
-HALF = 6.0          # s in which what was asked counts half
-GIVEN = 985         # of these at most lent at a time: rounding and clocks stay inside the whole
-LEAST_MOVE = 15     # of these: a smaller change is not worth a message
-THIN, THICK = 2.0, 3.0  # a second of a quota for each front: below, they draw from its pool; above, they hold parts
-POOL_BURST = 0.5    # of the slack that the rules leave beside a burst, kept in the pool
-POOL_START = 0.25   # of that slack, in a pool that begins: two changes of reckoner in a window keep to the bound
-DEMAND, OVER = 4.0, 1.25    # s in which what was drawn for counts half; of a quota, asked for: it is over, not short
-RULE_WINDOW = 1.0   # s in which the rules count what is sent to a cold backend
-FORGET = 30.0       # s without an ask after which a front is taken out: what it was lent has ended long before
-NOISE = 0.25        # of a part: asks of seconds say no more than this, and what is taken back is lost
+from fennelpoint.system.registry.grants import COLD_RATE_TAIL_S, GRANT_TTL_S, TOTAL_SHARES, Grant
+from fennelpoint.system.registry.live_proxies import LiveProxies
+from fennelpoint.system.registry.outstanding_grants import (
+    SLACK_RESOURCE,
+    OutstandingShares,
+    Resource,
+    max_shares_in_use,
+)
+
+EXPIRY_MARGIN_S = 0.4   # for which a grant counts here longer than at the proxy
+# After a read of its own term, an allocator may grant for this long, also when a later term has begun meanwhile.
+READ_VALIDITY_S = 1.0
+PROXY_ALIVE_S = 1.8     # without a request, after which a proxy gets no more of what is free
+DEMAND_HALF_LIFE_S = 6.0
+GRANTABLE_SHARES = 985  # of `TOTAL_SHARES`, granted at a time: the rest covers rounding and clock error
+MIN_SHARE_CHANGE = 15   # in shares: a smaller change is not worth a message
+# Units per second of a quota for each proxy: below the first, proxies take units from its pool; above the second,
+# they hold shares.
+POOL_BELOW_RATE, SHARES_ABOVE_RATE = 2.0, 3.0
+POOL_BURST_PART = 0.5   # of the slack that the rules allow beside a burst, kept in the pool
+POOL_INITIAL_PART = 0.25    # of that slack, in a new pool: two changes of allocator in a window keep to the bound
+# The second is demand to quota: above it, a tenant is over its quota and not short for a moment only.
+POOL_DEMAND_HALF_LIFE_S, OVERLOAD_RATIO = 4.0, 1.25
+COLD_RATE_WINDOW_S = 1.0    # in which the rules count what is sent to a cold backend
+FORGET_PROXY_S = 30.0   # without a request, after which a proxy is removed: its grants have expired long before
+DEMAND_NOISE = 0.25     # of a share: demand over seconds is no more precise than this, and revoked shares are lost
 
 
 @dataclass(slots=True)
-class Front:
-    """What is known of one front that may hold parts."""
+class ProxyState:
+    """What the allocator knows of one proxy that may hold shares."""
 
     ip: str
-    since: float = -1e9     # when it came into this table
+    added_at: float = -1e9
     region: str = ""
-    life: int = 0           # whose ask came last
-    told: set[int] = field(default_factory=set)     # its lives that told this term what they hold
-    heard: float = -1e9
-    known: bool = False     # one of them did, or it held nothing before this term
-    told_at: float = -1e9   # when one of them did first, if it may have held something before this term
-    keeps: bool = False     # nobody before us can have lent what it told to another: it may keep that
+    incarnation: int = 0    # that sent the last request
+    reported_incarnations: set[int] = field(default_factory=set)    # that reported to this term what they hold
+    last_request_at: float = -1e9
+    is_known: bool = False  # an incarnation has reported, or the proxy held nothing before this term
+    reported_at: float = -1e9   # first report, if the proxy may have held shares before this term
+    keeps_shares: bool = False  # no earlier allocator can have granted the reported shares to another
     grants: list[Grant] = field(default_factory=list)   # that may be in use, the newest last
-    asked: dict[str, float] = field(default_factory=dict)   # a second, fading, by tenant
-    faded: float = 0.0
+    demand: dict[str, float] = field(default_factory=dict)  # units per second by tenant, decaying
+    demand_updated_at: float = 0.0
 
     def confirm(self, number: int, now: float) -> bool:
-        """It goes by that grant or a later one: of those before only what was sent by their cold rates counts.
+        """Record that the proxy uses grant `number` or a later one.
 
-        Returns whether that changes what it may be using.
+        Earlier grants count only for what was sent by their cold rates.  Returns whether this changes what the proxy
+        may be using.
         """
-        replaced = [g for g in self.grants if g.number < number and now < g.ends]
-        for grant in replaced:
-            grant.ends, grant.quotas, grant.slack = now, {}, 0
-        return bool(replaced)
+        superseded = [g for g in self.grants if g.number < number and now < g.expires_at]
+        for grant in superseded:
+            grant.expires_at, grant.quotas, grant.slack = now, {}, 0
+        return bool(superseded)
 
-    def forget_ended(self, now: float) -> None:
-        self.grants = [g for g in self.grants if now < g.ends + COLD_AFTER]
+    def drop_expired(self, now: float) -> None:
+        """Remove the grants that no longer count."""
+        self.grants = [g for g in self.grants if now < g.expires_at + COLD_RATE_TAIL_S]
 
 
 @dataclass(slots=True)
 class Pool:
-    """What is left of one tenant's quota beside parts that are held: a bucket, drawn from by the unit."""
+    """A token bucket of what is left of one tenant's quota beside the shares that proxies hold."""
 
-    level: float
-    filled: float
-    asked: float = 0.0      # units, fading
-    part: float = 0.0       # of the quota, when it was last drawn from
+    level: float            # in units
+    refilled_at: float
+    demand: float = 0.0     # in units, decaying
+    quota_part: float = 0.0     # of the quota, when units were last taken
 
 
 class Allocator:
-    """The reckoner of one term."""
-
-    def __init__(self, term: list, fronts: Iterable[str], now: float) -> None:
-        self.term, self.since, self.number = term, now, 0
-        self.fronts: dict[str, Front] = {ip: Front(ip, now) for ip in fronts}
-        self.unknown = set(self.fronts)     # fronts of which we don't know yet what they hold
-        self.known_at = now                 # when the last of these was known: what it holds, or that it is gone
-        self.lent = Lent()
-        self.census = Census([], {}, now)
-        self.pools: dict[str, Pool] = {}    # by tenant, of those whose fronts draw
-        self.opened: float | None = None    # when the pools did
-        self.violations: list[Violation] = []   # of invariants, until whoever calls takes them
-
-    def enrol(self, fronts: Iterable[str], now: float) -> None:
-        """These may hold parts from now on: by a value that is agreed, so that whoever comes after knows."""
-        for ip in fronts:
-            if ip not in self.fronts:
-                self.fronts[ip] = Front(ip, now, known=True)
-
-    def dismiss(self, now: float) -> set[str]:
-        """Takes out the fronts that have been silent for long, whose parts have ended; returns them."""
-        gone = {f.ip for f in self.fronts.values()
-                if now - max(f.heard, f.since) > FORGET and all(now >= g.ends for g in f.grants)}
-        for ip in gone:
-            del self.fronts[ip]
-            self._know(ip, now)
-            self.lent.forget(ip)
-        return gone
-
-    def _know(self, ip: str, now: float) -> None:
+    """Grants shares to proxies during one term.
+
+    `term` is the term's number and its leader's IP address; `proxies` are those that may hold shares at its start.
+    All times are in s on this machine's steady clock.
+    """
+
+    def __init__(self, term: list, proxies: Iterable[str], now: float) -> None:
+        self.term, self.started_at, self.last_grant_number = term, now, 0
+        self.proxies: dict[str, ProxyState] = {ip: ProxyState(ip, now) for ip in proxies}
+        self.unknown = set(self.proxies)    # proxies that have not yet reported what they hold
+        self.last_known_at = now            # when the last of these reported or was removed
+        self.outstanding = OutstandingShares()
+        self.live_proxies = LiveProxies([], {}, now)
+        self.pools: dict[str, Pool] = {}    # by tenant, of those whose proxies take units from a pool
+        self.pools_opened_at: float | None = None
+        self.violations: list[Violation] = []   # of invariants, until the caller takes them
+
+    def enrol(self, proxies: Iterable[str], now: float) -> None:
+        """Add proxies that may hold shares from now on.
+
+        The caller has agreed on them by consensus, so that the next allocator knows of them.
+        """
+        for ip in proxies:
+            if ip not in self.proxies:
+                self.proxies[ip] = ProxyState(ip, now, is_known=True)
+
+    def remove_silent(self, now: float) -> set[str]:
+        """Remove the proxies that have long been silent and whose grants have expired; return their addresses."""
+        removed = {p.ip for p in self.proxies.values()
+                   if now - max(p.last_request_at, p.added_at) > FORGET_PROXY_S
+                   and all(now >= g.expires_at for g in p.grants)}
+        for ip in removed:
+            del self.proxies[ip]
+            self._mark_known(ip, now)
+            self.outstanding.remove(ip)
+        return removed
+
+    def _mark_known(self, ip: str, now: float) -> None:
         if ip in self.unknown:
             self.unknown.discard(ip)
-            self.known_at = now
+            self.last_known_at = now
 
-    def over(self, now: float) -> bool:
-        """Whether all that reckoners before us lent has ended."""
-        return now - self.since > HOLD + GRANT_LIFE + SLACK
+    def earlier_grants_expired(self, now: float) -> bool:
+        """Return whether all grants of earlier allocators have expired."""
+        return now - self.started_at > READ_VALIDITY_S + GRANT_TTL_S + EXPIRY_MARGIN_S
 
-    def settled(self, now: float) -> bool:
-        """Whether nothing is lent that we don't know of."""
-        return self.over(now) or not self.unknown
+    def all_grants_known(self, now: float) -> bool:
+        """Return whether all outstanding grants are known here."""
+        return self.earlier_grants_expired(now) or not self.unknown
 
-    def settled_for(self, span: float, now: float) -> bool:
-        """Whether nothing has been lent that we don't know of for so long, in s.
+    def all_grants_known_for(self, duration_s: float, now: float) -> bool:
+        """Return whether all outstanding grants have been known here for `duration_s`.
 
-        Fronts tell what they hold at that moment: until then they may have used more, or what has just ended.
+        Proxies report what they hold at that moment: before it they may have used more, or what has just expired.
         """
-        return self.over(now - span) or not self.unknown and now - self.known_at > span
-
-    def want(self, ip: str, life: int, region: str, seen: list, asked: Mapping[str, float], holds: list | None,
-             rates: Mapping[str, float], cold: Mapping[str, tuple[int, str]], now: float) -> Grant | None:
-        """A front's ask: `seen` is the term and number it goes by, `holds` what that is, to which term it says so (no
-        word of those before counts there any more), and for how many s it is good.
-
-        `rates` are tenants' quotas a second, `cold` what each cold backend bears in a second, and its region.
-        Returns what it may use from now on; None: it has to tell what it holds first, or may hold nothing yet.
-
-        Each life tells for itself, and to this term: lives tell no order, so what is known of one that may be over
-        stays until it ends, and a late word never speaks for the life that uses the parts.
+        return self.earlier_grants_expired(now - duration_s) or not self.unknown and (
+            now - self.last_known_at > duration_s)
+
+    def request_grant(self, ip: str, incarnation: int, region: str, in_use: list, demand: Mapping[str, float],
+                      holds: list | None, rates: Mapping[str, float], cold: Mapping[str, tuple[int, str]],
+                      now: float) -> Grant | None:
+        """Handle a proxy's request for shares and return what it may use from now on.
+
+        `in_use` is the term and number of the grant that the proxy uses.  `holds` is the content of that grant, the
+        term to which the proxy reports it (messages of earlier terms no longer count there), and its remaining
+        lifetime in s.  `demand` counts units by tenant since the last request, `rates` are tenants' quotas per
+        second, and `cold` is the rate per second and the region of each cold backend.
+        Returns None if the proxy must first report what it holds, or is not enrolled.
+
+        Each incarnation reports for itself, and to this term.  Incarnations have no order, so what is known of one
+        that may have ended stays until it expires, and a late message never speaks for the incarnation that uses the
+        shares.
         """
-        if (front := self.fronts.get(ip)) is None:
+        if (proxy := self.proxies.get(ip)) is None:
             return None
-        term, number = seen
-        ours = tuple(term) == tuple(self.term)
-        if life not in front.told:
-            if not ours and (holds is None or tuple(holds[3]) != tuple(self.term)):
+        term, number = in_use
+        is_own_term = tuple(term) == tuple(self.term)
+        if incarnation not in proxy.reported_incarnations:
+            if not is_own_term and (holds is None or tuple(holds[3]) != tuple(self.term)):
                 return None
-            if number and not ours:
-                quotas, its_cold, slack, _, left = holds
-                ends = now + min(left, GRANT_LIFE) + SLACK
-                front.grants.append(Grant(0, dict(quotas), dict(its_cold), slack, ends))
-                # It was told after we began, so what lasts so long outlives the last lending of those before us.
-                front.keeps = left >= HOLD and not front.told
-                self.lent.recount(front, now)
-            front.told.add(life)
-            if not front.known:
-                front.known, front.told_at = True, now
-            self._know(ip, now)
-        elif number and ours and front.confirm(number, now):
-            self.lent.recount(front, now)
-        if life != front.life:
-            front.life = life
-            front.asked.clear()
-        front.heard, front.region = now, region
-        self._ask(front, asked, now)
-        front.forget_ended(now)
-        self.open(now)
-        if not self.census.good(rates, now):
-            self.census = Census([f for f in self.fronts.values() if now - f.heard < ALIVE], rates, now)
-        self.census.join(front)
-        return self._lend(front, rates, cold, now)
-
-    def open(self, now: float) -> bool:
-        """Whether nobody draws from the pool of a reckoner before us: its words count no more, or it has ended."""
-        if self.opened is None and (now - self.since > HOLD or not self.unknown):
-            self.opened = now
-        return self.opened is not None
-
-    def _thin(self, tenant: str, rate: float, alive: int, now: float) -> bool:
-        """Whether its fronts draw; whoever begins to reckon has nothing in the pool."""
-        drawn = tenant in self.pools
-        draws = rate < (THICK if drawn else THIN) * alive
-        if draws and not drawn:
+            if number and not is_own_term:
+                quotas, cold_rates, slack, _, remaining_s = holds
+                expires_at = now + min(remaining_s, GRANT_TTL_S) + EXPIRY_MARGIN_S
+                proxy.grants.append(Grant(0, dict(quotas), dict(cold_rates), slack, expires_at))
+                # The report was made after this term began, so a grant with that much time left outlives the last
+                # grants of earlier allocators.
+                proxy.keeps_shares = remaining_s >= READ_VALIDITY_S and not proxy.reported_incarnations
+                self.outstanding.recompute(proxy, now)
+            proxy.reported_incarnations.add(incarnation)
+            if not proxy.is_known:
+                proxy.is_known, proxy.reported_at = True, now
+            self._mark_known(ip, now)
+        elif number and is_own_term and proxy.confirm(number, now):
+            self.outstanding.recompute(proxy, now)
+        if incarnation != proxy.incarnation:
+            proxy.incarnation = incarnation
+            proxy.demand.clear()
+        proxy.last_request_at, proxy.region = now, region
+        self._update_demand(proxy, demand, now)
+        proxy.drop_expired(now)
+        self.open_pools(now)
+        if not self.live_proxies.is_valid(rates, now):
+            self.live_proxies = LiveProxies(
+                [p for p in self.proxies.values() if now - p.last_request_at < PROXY_ALIVE_S], rates, now)
+        self.live_proxies.add(proxy)
+        return self._issue_grant(proxy, rates, cold, now)
+
+    def open_pools(self, now: float) -> bool:
+        """Return whether no proxy takes units from an earlier allocator's pools.
+
+        That holds once the earlier allocator's messages no longer count at any proxy, or its validity has ended.
+        """
+        if self.pools_opened_at is None and (now - self.started_at > READ_VALIDITY_S or not self.unknown):
+            self.pools_opened_at = now
+        return self.pools_opened_at is not None
+
+    def _uses_pool(self, tenant: str, rate: float, alive: int, now: float) -> bool:
+        """Return whether proxies take the tenant's units from a pool; a new allocator's pool starts empty."""
+        has_pool = tenant in self.pools
+        uses_pool = rate < (SHARES_ABOVE_RATE if has_pool else POOL_BELOW_RATE) * alive
+        if uses_pool and not has_pool:
             self.pools[tenant] = Pool(-1.0, now)
-        elif drawn and not draws:
+        elif has_pool and not uses_pool:
             del self.pools[tenant]
-        return draws
+        return uses_pool
+
+    def take_from_pools(self, ip: str, needs: Mapping[str, float], rates: Mapping[str, float],
+                        bursts: Mapping[str, float], slack: float, now: float) -> tuple[dict, dict, list] | None:
+        """Take units for a proxy from the pools of the tenants in `needs`.
 
-    def draw(self, ip: str, needs: Mapping[str, float], rates: Mapping[str, float], bursts: Mapping[str, float],
-             slack: float, now: float) -> tuple[dict, dict, list] | None:
-        """Units of the pool for a front, what is not there, and tenants that are short for a moment only.
+        Returns the units granted and those denied, by tenant, and the tenants that are short for a moment only; None
+        if this allocator can't serve the proxy, or can't yet.
 
-        None: not from here, or not now.  Bound: a unit is used within `DRAW_LIFE` of its ask, so a window's use is at
-        most what is drawn in one that much longer: a burst with half of the slack, and the rate for a tenth of a
-        window more; twice `POOL_START` where the reckoner moves.  The rules leave that."""
-        if (front := self.fronts.get(ip)) is None or not front.known or not self.open(now):
+        Bound: a unit is used within `POOL_UNIT_TTL_S` of its request, so the use in a window is at most what is taken
+        in a window that much longer: a burst with half of the slack, and the rate for a tenth of a window more; and
+        twice `POOL_INITIAL_PART` where the allocator changes.  The rules allow that.
+        """
+        if (proxy := self.proxies.get(ip)) is None or not proxy.is_known or not self.open_pools(now):
             return None
-        given, denied, soon = {}, {}, []
+        granted, denied, short = {}, {}, []
         for tenant, units in needs.items():
             if (rate := rates.get(tenant, 0.0)) <= 0.0 or (pool := self.pools.get(tenant)) is None:
                 continue
-            pool.part = max(0, WHOLE - self.lent.total(Thing("quotas", tenant), now)) / WHOLE
-            most = (bursts.get(tenant, 0.0) + POOL_BURST * slack) * pool.part
-            if pool.level < 0.0:    # its first draw: filled since nobody else drew from it
-                pool.level, pool.filled = POOL_START * slack * pool.part, max(pool.filled, self.opened)
-            pool.level = min(most, pool.level + rate * pool.part * (now - pool.filled))
-            pool.asked = pool.asked * 0.5 ** ((now - pool.filled) / DEMAND) + units
-            pool.filled = now
-            got = min(int(pool.level), units)
-            pool.level -= got
-            if got:
-                given[tenant] = got
-            if got < units:
-                denied[tenant] = units - got
-                if pool.asked < OVER * rate * DEMAND / log(2.0):
-                    soon.append(tenant)
-        return given, denied, soon
-
-    def told(self, now: float) -> dict:
-        """For operators: the term, and of each front what it asked a second and what it may be using."""
-        fronts = {}
-        for f in self.fronts.values():
-            parts: dict[str, dict[str, int]] = {"quotas": {}, "cold": {}, "slack": {}}
-            for thing, part in sorted(most_in_use(f.grants, now).items()):
-                parts[thing.kind][thing.key] = part
-            fronts[f.ip] = {
-                "heard": round(now - f.heard, 1) if f.heard > 0.0 else None, "known": f.known,
-                "asked": {tenant: round(rate, 1) for tenant, rate in f.asked.items()},
-                "slack": parts["slack"].get("", 0), "quotas": parts["quotas"], "cold": parts["cold"]}
-        pools = {tenant: {"part": round(pool.part, 3), "units": round(max(0.0, pool.level), 1)}
+            pool.quota_part = max(
+                0, TOTAL_SHARES - self.outstanding.total(Resource("quotas", tenant), now)) / TOTAL_SHARES
+            capacity = (bursts.get(tenant, 0.0) + POOL_BURST_PART * slack) * pool.quota_part
+            if pool.level < 0.0:    # its first use: it fills from the time since which no earlier pool is used
+                pool.level, pool.refilled_at = (
+                    POOL_INITIAL_PART * slack * pool.quota_part, max(pool.refilled_at, self.pools_opened_at))
+            pool.level = min(capacity, pool.level + rate * pool.quota_part * (now - pool.refilled_at))
+            pool.demand = pool.demand * 0.5 ** ((now - pool.refilled_at) / POOL_DEMAND_HALF_LIFE_S) + units
+            pool.refilled_at = now
+            taken = min(int(pool.level), units)
+            pool.level -= taken
+            if taken:
+                granted[tenant] = taken
+            if taken < units:
+                denied[tenant] = units - taken
+                if pool.demand < OVERLOAD_RATIO * rate * POOL_DEMAND_HALF_LIFE_S / log(2.0):
+                    short.append(tenant)
+        return granted, denied, short
+
+    def status(self, now: float) -> dict:
+        """Return, for operators, the term, each proxy's demand per second and what it may be using, and the pools."""
+        proxies = {}
+        for p in self.proxies.values():
+            shares: dict[str, dict[str, int]] = {"quotas": {}, "cold": {}, "slack": {}}
+            for resource, share in sorted(max_shares_in_use(p.grants, now).items()):
+                shares[resource.kind][resource.key] = share
+            proxies[p.ip] = {
+                "heard": round(now - p.last_request_at, 1) if p.last_request_at > 0.0 else None, "known": p.is_known,
+                "asked": {tenant: round(rate, 1) for tenant, rate in p.demand.items()},
+                "slack": shares["slack"].get("", 0), "quotas": shares["quotas"], "cold": shares["cold"]}
+        pools = {tenant: {"part": round(pool.quota_part, 3), "units": round(max(0.0, pool.level), 1)}
                  for tenant, pool in self.pools.items()}
-        return {"term": self.term[0], "settled": self.settled(now), "whole": WHOLE, "fronts": fronts, "pools": pools}
-
-    def _ask(self, front: Front, asked: Mapping[str, float], now: float) -> None:
-        span = max(0.05, now - front.faded) if front.faded else 0.5
-        keep = 0.5 ** (span / HALF)
-        front.faded = now
-        for tenant in {*front.asked, *asked}:
-            rate = front.asked.get(tenant, 0.0) * keep + asked.get(tenant, 0) / span * (1.0 - keep)
-            front.asked[tenant] = rate
+        return {"term": self.term[0], "settled": self.all_grants_known(now), "whole": TOTAL_SHARES, "fronts": proxies,
+                "pools": pools}
+
+    def _update_demand(self, proxy: ProxyState, units: Mapping[str, float], now: float) -> None:
+        elapsed_s = max(0.05, now - proxy.demand_updated_at) if proxy.demand_updated_at else 0.5
+        decay = 0.5 ** (elapsed_s / DEMAND_HALF_LIFE_S)
+        proxy.demand_updated_at = now
+        for tenant in {*proxy.demand, *units}:
+            rate = proxy.demand.get(tenant, 0.0) * decay + units.get(tenant, 0) / elapsed_s * (1.0 - decay)
+            proxy.demand[tenant] = rate
             if rate < 0.01:
-                del front.asked[tenant]
-
-    def _free(self, thing: Thing, whole: int, front: Front, now: float) -> int:
-        """What may be lent to it of one thing; while something is unknown, no more than it keeps of what it held."""
-        settled = self.settled_for(COLD_AFTER, now) if thing.kind == "cold" else self.settled(now)
-        own = self.lent.of(front.ip, thing, now)
-        if not settled:
-            return own if front.keeps else 0
-        return max(0, whole - (self.lent.total(thing, now) - own))
-
-    def _thick(self, now: float) -> list[str]:
-        """The tenants whose fronts hold parts; the others' draw from pools."""
-        if self.census.thick is None:
-            self.census.thick = [tenant for tenant, rate in self.census.rates.items()
-                                 if not self._thin(tenant, rate, len(self.census), now)]
-        return self.census.thick
-
-    def _lend(self, front: Front, rates: Mapping[str, float], cold: Mapping[str, tuple[int, str]],
-              now: float) -> Grant:
+                del proxy.demand[tenant]
+
+    def _available(self, resource: Resource, capacity: int, proxy: ProxyState, now: float) -> int:
+        """Return how much of a resource may be granted to a proxy.
+
+        While outstanding grants are unknown, that is no more than the proxy may keep of what it held.
+        """
+        is_known = (self.all_grants_known_for(COLD_RATE_TAIL_S, now) if resource.kind == "cold"
+                    else self.all_grants_known(now))
+        held = self.outstanding.held_by(proxy.ip, resource, now)
+        if not is_known:
+            return held if proxy.keeps_shares else 0
+        return max(0, capacity - (self.outstanding.total(resource, now) - held))
+
+    def _tenants_in_shares(self, now: float) -> list[str]:
+        """Return the tenants whose quota proxies hold in shares; units of the others come from pools."""
+        if self.live_proxies.tenants_in_shares is None:
+            self.live_proxies.tenants_in_shares = [
+                tenant for tenant, rate in self.live_proxies.rates.items()
+                if not self._uses_pool(tenant, rate, len(self.live_proxies), now)]
+        return self.live_proxies.tenants_in_shares
+
+    def _issue_grant(self, proxy: ProxyState, rates: Mapping[str, float], cold: Mapping[str, tuple[int, str]],
+                     now: float) -> Grant:
         quotas = {}
-        for tenant in self._thick(now):
-            want = self.census.share(front, tenant)
-            part = min(int(GIVEN * want), self._free(Thing("quotas", tenant), GIVEN, front, now))
-            if part > 0:
-                quotas[tenant] = part
-        bears = {}
-        for backend, (most, region) in cold.items():
-            near = self.census.ranks(region)
-            if (rank := near.get(front.ip)) is None:
+        for tenant in self._tenants_in_shares(now):
+            target = self.live_proxies.share(proxy, tenant)
+            share = min(int(GRANTABLE_SHARES * target),
+                        self._available(Resource("quotas", tenant), GRANTABLE_SHARES, proxy, now))
+            if share > 0:
+                quotas[tenant] = share
+        cold_rates = {}
+        for backend, (max_rate, region) in cold.items():
+            near = self.live_proxies.ranks(region)
+            if (rank := near.get(proxy.ip)) is None:
                 continue
-            part = most // len(near) + (rank < most % len(near))
-            part = min(part, self._free(Thing("cold", backend), most, front, now))
-            if part > 0:
-                bears[backend] = part
-        slack = min(GIVEN // len(self.census), self._free(SLACK_THING, GIVEN, front, now))
-        last = front.grants[-1] if front.grants and now < front.grants[-1].ends else None
-        if last is not None and last.number and self._alike(last, quotas, bears, slack):
-            last.ends = now + GRANT_LIFE + SLACK
+            share = max_rate // len(near) + (rank < max_rate % len(near))
+            share = min(share, self._available(Resource("cold", backend), max_rate, proxy, now))
+            if share > 0:
+                cold_rates[backend] = share
+        slack = min(GRANTABLE_SHARES // len(self.live_proxies),
+                    self._available(SLACK_RESOURCE, GRANTABLE_SHARES, proxy, now))
+        last = proxy.grants[-1] if proxy.grants and now < proxy.grants[-1].expires_at else None
+        if last is not None and last.number and self._nearly_equal(last, quotas, cold_rates, slack):
+            last.expires_at = now + GRANT_TTL_S + EXPIRY_MARGIN_S
             return last
-        self._check_cold(front, bears, now)
-        self.number += 1
-        made = Grant(self.number, quotas, bears, slack, now + GRANT_LIFE + SLACK)
-        front.grants.append(made)
-        self.lent.recount(front, now)
-        return made
-
-    def _check_cold(self, front: Front, bears: Mapping[str, int], now: float) -> None:
-        """Raised cold rates, before what fronts sent by older ones than they told of is a second ago."""
-        if self.over(now - RULE_WINDOW):
+        self._check_cold_rates(proxy, cold_rates, now)
+        self.last_grant_number += 1
+        grant = Grant(self.last_grant_number, quotas, cold_rates, slack, now + GRANT_TTL_S + EXPIRY_MARGIN_S)
+        proxy.grants.append(grant)
+        self.outstanding.recompute(proxy, now)
+        return grant
+
+    def _check_cold_rates(self, proxy: ProxyState, cold_rates: Mapping[str, int], now: float) -> None:
+        """Check that no cold rate rises within the rules' window after a proxy's report.
+
+        Before its report, a proxy may have sent by older and higher rates than those that it reported.
+        """
+        if self.earlier_grants_expired(now - COLD_RATE_WINDOW_S):
             return
-        raised = [b for b, part in bears.items() if part > self.lent.of(front.ip, Thing("cold", b), now)]
-        told = [f.ip for f in self.fronts.values() if now - f.told_at < RULE_WINDOW]
-        if raised and told:
-            detail = f"{len(raised)} rates raised at {front.ip}, {len(told)} fronts told within {RULE_WINDOW} s"
+        raised = [b for b, rate in cold_rates.items()
+                  if rate > self.outstanding.held_by(proxy.ip, Resource("cold", b), now)]
+        reported = [p.ip for p in self.proxies.values() if now - p.reported_at < COLD_RATE_WINDOW_S]
+        if raised and reported:
+            detail = (f"{len(raised)} cold rates raised at {proxy.ip}, {len(reported)} proxies reported within"
+                      f" {COLD_RATE_WINDOW_S} s")
             self.violations.append(Violation(Invariant.COLD_RATES_REST, detail))
 
     @staticmethod
-    def _alike(last: Grant, quotas: dict[str, int], cold: dict[str, int], slack: int) -> bool:
-        if cold != last.cold or quotas.keys() != last.quotas.keys():
+    def _nearly_equal(last: Grant, quotas: dict[str, int], cold_rates: dict[str, int], slack: int) -> bool:
+        if cold_rates != last.cold_rates or quotas.keys() != last.quotas.keys():
             return False
-        if abs(slack - last.slack) > NOISE * max(slack, last.slack):    # many fronts have a few thousandths each
+        # Relative only: with many proxies, each has a few thousandths.
+        if abs(slack - last.slack) > DEMAND_NOISE * max(slack, last.slack):
             return False
-        return all(abs(part - old) <= max(LEAST_MOVE, NOISE * old)
-                   for part, old in ((part, last.quotas[tenant]) for tenant, part in quotas.items()))
+        return all(abs(share - old) <= max(MIN_SHARE_CHANGE, DEMAND_NOISE * old)
+                   for share, old in ((share, last.quotas[tenant]) for tenant, share in quotas.items()))
--- a/fennelpoint/system/registry/grants.py
+++ b/fennelpoint/system/registry/grants.py
@@ -1,25 +1,30 @@
-"""A grant: the parts of what is scarce that one front may use for the time of a lease."""
+"""Grants: the shares of limited resources that one proxy may use for the duration of a lease."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-GRANT_LIFE = 4.2  # s of a grant at the front, from the sending of its ask
-DRAW_LIFE = 0.5  # s that units of the pool are good at the front, from the sending of its ask
-WHOLE = 1000  # parts of a quota or of the budget's slack
-COLD_AFTER = 1.2  # s more that rates of cold backends count once they are gone: what was sent by them is in the
-# window of a second that the rules count
+GRANT_TTL_S = 4.2  # lifetime of a grant at the proxy, from the sending of its request
+POOL_UNIT_TTL_S = 0.5  # lifetime at the proxy of units from a shared pool, from the sending of its request
+TOTAL_SHARES = 1000  # shares into which a quota, or the slack of the retry budget, is divided
+COLD_RATE_TAIL_S = 1.2  # for which cold rates of an expired grant still count: attempts sent by them remain in the
+# window of one second that the cold-start rules measure
 
 
 @dataclass(slots=True)
 class Grant:
-    """What one front may use: thousandths of quotas by tenant, tries a second by cold backend, of the slack."""
+    """What one proxy may use until `expires_at` (s on the allocator's clock).
+
+    `quotas` holds shares (of `TOTAL_SHARES`) by tenant, `cold_rates` attempts per second by cold backend, and `slack`
+    shares of the retry budget's slack.
+    """
 
     number: int = 0
     quotas: dict[str, int] = field(default_factory=dict)
-    cold: dict[str, int] = field(default_factory=dict)
+    cold_rates: dict[str, int] = field(default_factory=dict)
     slack: int = 0
-    ends: float = 0.0
+    expires_at: float = 0.0
 
     def pack(self) -> list:
-        return [self.quotas, self.cold, self.slack]
+        """Return the fields that are sent to the proxy."""
+        return [self.quotas, self.cold_rates, self.slack]
--- a/fennelpoint/system/registry/live_proxies.py
+++ b/fennelpoint/system/registry/live_proxies.py
@@ -1,8 +1,9 @@
-"""The fronts that are alive, and what follows from all of them together: even shares, ranks, demand by tenant.
+"""A snapshot of the live proxies and what is derived from all of them: even shares, ranks and demand by tenant.
 
-Going through all fronts at each front's ask would cost n² in time.  A census is taken anew after a time that grows
-with the number of fronts, so that its cost in a second does not.  What is derived from one that is a little old
-decides how parts are shared out and never how much is lent in all: that is bounded by the sums of what is lent.
+Iterating over all proxies on each proxy's request would cost O(n²) time.  A snapshot is therefore reused for a time
+that grows with the number of proxies, so that its cost per second does not grow with it.  A slightly stale snapshot
+affects only how shares are divided and never how much is granted in all: that is bounded by the sums of outstanding
+grants.
 """
 
 from __future__ import annotations
@@ -11,84 +12,92 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-GOOD_PER_FRONT, GOOD_MOST = 0.0005, 0.1  # s that a census is good, for each front; s at most
-LEAST_SUM = 1e-9
+SNAPSHOT_TTL_S_PER_PROXY, MAX_SNAPSHOT_TTL_S = 0.0005, 0.1
+MIN_WEIGHT_SUM = 1e-9
 
 
-class Asker(Protocol):
-    """A front and what it was asked for."""
+class ProxyDemand(Protocol):
+    """A proxy and the demand that its clients place on it."""
 
     ip: str
     region: str
-    asked: dict[str, float]
+    demand: dict[str, float]
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
-    """What all living fronts were asked for of one tenant."""
+class TenantDemand:
+    """The demand of one tenant at all live proxies."""
 
-    asked: float  # a second
-    unused: float  # the even share of what nobody asks for
-    shares: float  # the sum of all fronts' claims, each the larger of the even share and of its part of the demand
+    units_per_s: float
+    unused_share: float  # the even share, for each proxy, of the quota that is not in demand
+    weight_sum: float  # over all proxies; a weight is the larger of `unused_share` and the proxy's part of the demand
 
 
-class Census:
-    """Taken at one moment."""
+class LiveProxies:
+    """The live proxies at one moment."""
 
-    def __init__(self, alive: Iterable[Asker], rates: Mapping[str, float], now: float) -> None:
+    def __init__(self, alive: Iterable[ProxyDemand], rates: Mapping[str, float], now: float) -> None:
         self.alive = list(alive)
         self.rates = rates
-        self.until = now + min(GOOD_MOST, GOOD_PER_FRONT * len(self.alive))
-        self.thick: list[str] | None = None  # tenants whose fronts hold parts, once that is known
-        self._members = {front.ip: front.region for front in self.alive}
+        self.valid_until = now + min(MAX_SNAPSHOT_TTL_S, SNAPSHOT_TTL_S_PER_PROXY * len(self.alive))
+        self.tenants_in_shares: list[str] | None = None  # tenants whose quota is divided, once computed
+        self._regions = {proxy.ip: proxy.region for proxy in self.alive}
         self._ranks: dict[str, dict[str, int]] = {}  # by region
-        self._empty: set[str] = set()  # regions without living fronts of their own
-        self._demands: dict[str, Demand] = {}
+        self._empty: set[str] = set()  # regions without live proxies of their own
+        self._demands: dict[str, TenantDemand] = {}
 
     def __len__(self) -> int:
         return len(self.alive)
 
-    def good(self, rates: Mapping[str, float], now: float) -> bool:
-        """Whether it may be gone by still."""
-        return now < self.until and rates is self.rates
+    def is_valid(self, rates: Mapping[str, float], now: float) -> bool:
+        """Return whether the snapshot may still be used, for these quotas."""
+        return now < self.valid_until and rates is self.rates
 
-    def join(self, front: Asker) -> None:
-        """One that has just asked is alive, too: last in its region's order until the next census."""
-        if front.ip in self._members:
+    def add(self, proxy: ProxyDemand) -> None:
+        """Add a proxy that has just sent a request; it ranks last in its region until the next snapshot."""
+        if proxy.ip in self._regions:
             return
-        self.alive.append(front)
-        self._members[front.ip] = front.region
+        self.alive.append(proxy)
+        self._regions[proxy.ip] = proxy.region
         self._demands.clear()
-        if front.region in self._empty:
-            self._empty.discard(front.region)
-            del self._ranks[front.region]
+        if proxy.region in self._empty:
+            self._empty.discard(proxy.region)
+            del self._ranks[proxy.region]
         for region, ranks in self._ranks.items():
-            if region == front.region or region in self._empty:
-                ranks[front.ip] = len(ranks)
+            if region == proxy.region or region in self._empty:
+                ranks[proxy.ip] = len(ranks)
 
     def ranks(self, region: str) -> dict[str, int]:
-        """The region's living fronts in order; all living ones, where it has none."""
+        """Return the ranks of the region's live proxies, or of all live proxies where the region has none."""
         if region not in self._ranks:
-            near = sorted(ip for ip, its in self._members.items() if its == region)
+            near = sorted(ip for ip, proxy_region in self._regions.items() if proxy_region == region)
             if not near:
                 self._empty.add(region)
-                near = sorted(self._members)
+                near = sorted(self._regions)
             self._ranks[region] = {ip: rank for rank, ip in enumerate(near)}
         return self._ranks[region]
 
-    def share(self, front: Asker, tenant: str) -> float:
-        """The larger of the even share of what is unused, and of its asked over all asked; they add up to one."""
+    def share(self, proxy: ProxyDemand, tenant: str) -> float:
+        """Return the fraction of the tenant's quota for a proxy, in proportion to its weight.
+
+        The weight is the larger of the even share of the unused quota and of the proxy's part of the demand; the
+        fractions of all live proxies add up to one.
+        """
         if tenant not in self._demands:
             self._demands[tenant] = self._demand(tenant)
         demand = self._demands[tenant]
-        return min(1.0, self._claim(front, tenant, demand.asked, demand.unused) / max(LEAST_SUM, demand.shares))
-
-    def _demand(self, tenant: str) -> Demand:
-        asked = sum(front.asked.get(tenant, 0.0) for front in self.alive)
+        return min(
+            1.0,
+            self._weight(proxy, tenant, demand.units_per_s, demand.unused_share)
+            / max(MIN_WEIGHT_SUM, demand.weight_sum),
+        )
+
+    def _demand(self, tenant: str) -> TenantDemand:
+        total = sum(proxy.demand.get(tenant, 0.0) for proxy in self.alive)
         rate = self.rates[tenant]
-        unused = max(0.0, 1.0 - asked / rate) / len(self) if rate else 1.0 / len(self)
-        return Demand(asked, unused, sum(self._claim(front, tenant, asked, unused) for front in self.alive))
+        unused = max(0.0, 1.0 - total / rate) / len(self) if rate else 1.0 / len(self)
+        return TenantDemand(total, unused, sum(self._weight(proxy, tenant, total, unused) for proxy in self.alive))
 
-    def _claim(self, front: Asker, tenant: str, asked: float, unused: float) -> float:
-        part = front.asked.get(tenant, 0.0) / asked if asked > 0.0 else 1.0 / len(self)
+    def _weight(self, proxy: ProxyDemand, tenant: str, total: float, unused: float) -> float:
+        part = proxy.demand.get(tenant, 0.0) / total if total > 0.0 else 1.0 / len(self)
         return max(unused, part)
--- a/fennelpoint/system/registry/operator_handlers.py
+++ b/fennelpoint/system/registry/operator_handlers.py
@@ -13,10 +13,10 @@
 
 from fennelpoint.system import config_versions
 from fennelpoint.system.http_server import Asking, Reply
-from fennelpoint.system.registry.allocation_leader import AllocationDuty
+from fennelpoint.system.registry.allocation_leader import AllocationLeader
 from fennelpoint.system.registry.backend_table import DRAINING, Backends
-from fennelpoint.system.registry.leader_lease import SPAN
-from fennelpoint.system.registry.membership import Members
+from fennelpoint.system.registry.leader_lease import LEASE_S
+from fennelpoint.system.registry.membership import Membership
 from fennelpoint.system.registry.pending_calls import Held, fault
 from fennelpoint.system.store.idempotency import floor_of, upgrade
 
@@ -44,9 +44,9 @@
     world: dict
     contents: dict[str, bytes]
     links: set[str]
-    members: Members
+    members: Membership
     backends: Backends
-    allocation: AllocationDuty
+    allocation: AllocationLeader
 
     def in_touch(self, now: float) -> bool: ...
     def answer(self, asking: Asking, reply: Reply) -> None: ...
@@ -177,12 +177,13 @@
     def _call_status(self, asking: Asking, now: float) -> None:
         """The whole as this core machine sees it."""
         desk, world = self.desk, self.desk.world
-        holder = desk.allocation.duty.holder
+        holder = desk.allocation.lease.holder
         self.desk.answer(asking, Reply(200, {
             "node": desk.me, "version": world.get("version", 0), "revision": world.get("rev", 0),
             "voters": world.get("voters", {}), "before": world.get("before", {}), "ready": world.get("ready", {}),
             "evacuated": world.get("evac", []), "term": world.get("term", 0),
-            "reckons": holder[1] if holder is not None and now - desk.allocation.duty.holder_at < SPAN else "",
+            "reckons": (
+                holder[1] if holder is not None and now - desk.allocation.lease.holder_seen_at < LEASE_S else ""),
             "linked": sorted(desk.links), "in_touch": desk.in_touch(now),
             "behind": sorted(m.ip for m in desk.members.known.values() if m.version < world.get("version", 0)),
             "drains": sorted(id for id, b in desk.backends.known.items() if b.told.state == DRAINING),
@@ -191,9 +192,9 @@
 
     def _call_parts(self, asking: Asking, now: float) -> None:
         """Who holds which parts, told by who reckons them; elsewhere, where that is."""
-        desk, duty, allocator = self.desk, self.desk.allocation.duty, self.desk.allocation.allocator
+        desk, duty, allocator = self.desk, self.desk.allocation.lease, self.desk.allocation.allocator
         if allocator is not None and duty.holds(now):
-            return desk.answer(asking, Reply(200, {"node": desk.me, **allocator.told(now)}))
-        if (holder := duty.holder) is None or now - duty.holder_at >= SPAN or holder[1] == desk.me:
+            return desk.answer(asking, Reply(200, {"node": desk.me, **allocator.status(now)}))
+        if (holder := duty.holder) is None or now - duty.holder_seen_at >= LEASE_S or holder[1] == desk.me:
             return desk.answer(asking, fault(503, "nobody reckons parts"))
         desk.answer(asking, Reply(307, {}, headers=[("Location", f"http://{holder[1]}:{desk.port}/api/parts")]))
--- a/fennelpoint/system/registry/outstanding_grants.py
+++ b/fennelpoint/system/registry/outstanding_grants.py
@@ -1,7 +1,7 @@
-"""Sums of what fronts may be using, kept so that a look-up costs the same for any number of fronts.
+"""Sums of the shares that proxies may be using, kept so that a look-up costs the same for any number of proxies.
 
-A front uses at most the largest part of a thing among its grants that count still.  Its share in the sums is counted
-anew when its grants change, and when one of them ends: a heap tells the front whose grant ends next.
+A proxy uses at most the largest share of a resource among its grants that still count.  Its contribution to the sums
+is recomputed when its grants change and when one of them expires: a heap yields the proxy whose grant expires next.
 """
 
 from __future__ import annotations
@@ -10,90 +10,90 @@
 from heapq import heappop, heappush
 from typing import NamedTuple, Protocol
 
-from fennelpoint.system.registry.grants import COLD_AFTER, Grant
+from fennelpoint.system.registry.grants import COLD_RATE_TAIL_S, Grant
 
 
-class Thing(NamedTuple):
-    """What is lent in parts."""
+class Resource(NamedTuple):
+    """A limited resource that is granted in shares."""
 
     kind: str  # "quotas", "cold" or "slack"
     key: str = ""  # the tenant or the cold backend
 
 
-SLACK_THING = Thing("slack")
+SLACK_RESOURCE = Resource("slack")
 
 
-class Borrower(Protocol):
-    """A front and its grants that may be in use."""
+class GrantHolder(Protocol):
+    """A proxy and its grants that may be in use."""
 
     ip: str
     grants: list[Grant]
 
 
-def most_in_use(grants: Iterable[Grant], now: float) -> dict[Thing, int]:
-    """The largest part of each thing among the grants that count at that time."""
-    most: dict[Thing, int] = {}
+def max_shares_in_use(grants: Iterable[Grant], now: float) -> dict[Resource, int]:
+    """Return the largest share of each resource among the grants that count at `now`."""
+    largest: dict[Resource, int] = {}
 
-    def count(thing: Thing, part: int) -> None:
-        if part > most.get(thing, 0):
-            most[thing] = part
+    def include(resource: Resource, share: int) -> None:
+        if share > largest.get(resource, 0):
+            largest[resource] = share
 
     for grant in grants:
-        if now < grant.ends:
-            for tenant, part in grant.quotas.items():
-                count(Thing("quotas", tenant), part)
-            count(SLACK_THING, grant.slack)
-        if now < grant.ends + COLD_AFTER:
-            for backend, part in grant.cold.items():
-                count(Thing("cold", backend), part)
-    return most
+        if now < grant.expires_at:
+            for tenant, share in grant.quotas.items():
+                include(Resource("quotas", tenant), share)
+            include(SLACK_RESOURCE, grant.slack)
+        if now < grant.expires_at + COLD_RATE_TAIL_S:
+            for backend, share in grant.cold_rates.items():
+                include(Resource("cold", backend), share)
+    return largest
 
 
-class Lent:
-    """The sums over all fronts.  Times never run backwards."""
+class OutstandingShares:
+    """Shares in use per proxy and in total.  The `now` of successive calls must never decrease."""
 
     def __init__(self) -> None:
-        self._totals: dict[Thing, int] = {}
-        self._of: dict[str, dict[Thing, int]] = {}
-        self._fronts: dict[str, Borrower] = {}
-        self._ends: list[tuple[float, str]] = []  # when a front's share may change by itself, soonest first
-
-    def recount(self, front: Borrower, now: float) -> None:
-        """Its grants have changed, or one of them has ended."""
-        self._fronts[front.ip] = front
-        self._replace(front.ip, most_in_use(front.grants, now))
-        moments = (moment for grant in front.grants for moment in (grant.ends, grant.ends + COLD_AFTER))
-        if (soonest := min((moment for moment in moments if moment > now), default=None)) is not None:
-            heappush(self._ends, (soonest, front.ip))
-
-    def forget(self, ip: str) -> None:
-        """The front is taken out of the table."""
+        self._totals: dict[Resource, int] = {}
+        self._by_proxy: dict[str, dict[Resource, int]] = {}
+        self._proxies: dict[str, GrantHolder] = {}
+        self._expiries: list[tuple[float, str]] = []  # heap of times at which a proxy's shares may shrink
+
+    def recompute(self, proxy: GrantHolder, now: float) -> None:
+        """Update the sums after the proxy's grants have changed or one of them has expired."""
+        self._proxies[proxy.ip] = proxy
+        self._replace(proxy.ip, max_shares_in_use(proxy.grants, now))
+        expiries = (at for grant in proxy.grants for at in (grant.expires_at, grant.expires_at + COLD_RATE_TAIL_S))
+        if (soonest := min((at for at in expiries if at > now), default=None)) is not None:
+            heappush(self._expiries, (soonest, proxy.ip))
+
+    def remove(self, ip: str) -> None:
+        """Remove a proxy that is no longer tracked."""
         self._replace(ip, {})
-        del self._of[ip]
-        self._fronts.pop(ip, None)
+        del self._by_proxy[ip]
+        self._proxies.pop(ip, None)
 
-    def of(self, ip: str, thing: Thing, now: float) -> int:
-        """The most of a thing that one front may be using."""
+    def held_by(self, ip: str, resource: Resource, now: float) -> int:
+        """Return the largest share of a resource that one proxy may be using."""
         self._advance(now)
-        return self._of.get(ip, {}).get(thing, 0)
+        return self._by_proxy.get(ip, {}).get(resource, 0)
 
-    def total(self, thing: Thing, now: float) -> int:
-        """The most of a thing that all fronts together may be using."""
+    def total(self, resource: Resource, now: float) -> int:
+        """Return the largest share of a resource that all proxies together may be using."""
         self._advance(now)
-        return self._totals.get(thing, 0)
+        return self._totals.get(resource, 0)
 
     def _advance(self, now: float) -> None:
-        while self._ends and self._ends[0][0] <= now:
-            _, ip = heappop(self._ends)
-            if (front := self._fronts.get(ip)) is not None:
-                self.recount(front, now)
-
-    def _replace(self, ip: str, parts: dict[Thing, int]) -> None:
-        before = self._of.get(ip, {})
-        self._of[ip] = parts
-        for thing in before.keys() | parts.keys():
-            total = self._totals.get(thing, 0) + parts.get(thing, 0) - before.get(thing, 0)
+        while self._expiries and self._expiries[0][0] <= now:
+            _, ip = heappop(self._expiries)
+            if (proxy := self._proxies.get(ip)) is not None:
+                self.recompute(proxy, now)
+
+    def _replace(self, ip: str, shares: dict[Resource, int]) -> None:
+        before = self._by_proxy.get(ip, {})
+        self._by_proxy[ip] = shares
+        for resource in before.keys() | shares.keys():
+            total = self._totals.get(resource, 0) + shares.get(resource, 0) - before.get(resource, 0)
             if total:
-                self._totals[thing] = total
+                self._totals[resource] = total
             else:
-                self._totals.pop(thing, None)
+                self._totals.pop(resource, None)
--- a/fennelpoint/system/registry/state_machine.py
+++ b/fennelpoint/system/registry/state_machine.py
@@ -14,12 +14,12 @@
 from fennelpoint.system.http_server import Asking, Reply
 from fennelpoint.system.incarnation import first_number
 from fennelpoint.system.mesh import ip_of, name
-from fennelpoint.system.registry.allocation_leader import MESSAGES, AllocationDuty
-from fennelpoint.system.registry.allocation_parameters import ColdBackends, Figures
+from fennelpoint.system.registry.allocation_leader import ALLOCATION_MESSAGES, AllocationLeader
+from fennelpoint.system.registry.allocation_parameters import AllocationParameters, ColdBackends
 from fennelpoint.system.registry.backend_table import DRAINING, GONE, LOST_AFTER, READY, SPOKE, Backends, Told
-from fennelpoint.system.registry.directory import FRESH, Directory, homes_by_host
-from fennelpoint.system.registry.leader_lease import SPAN, Duty
-from fennelpoint.system.registry.membership import Members
+from fennelpoint.system.registry.directory import PROXY_FRESH_S, Directory, home_regions_by_host
+from fennelpoint.system.registry.leader_lease import LEASE_S, LeaderLease
+from fennelpoint.system.registry.membership import Membership
 from fennelpoint.system.registry.operator_handlers import Office
 from fennelpoint.system.registry.pending_calls import Answer, Held, Save, fault
 from fennelpoint.system.registry.quorum_check import Contact
@@ -52,7 +52,7 @@
         self.bounds, self.beat, self.life, self.born = bounds, beat, life, now
         self.seeds = seeds
         self.store = name("writ", me)
-        self.backends, self.members = Backends(), Members()
+        self.backends, self.members = Backends(), Membership()
         self.world: dict = {}
         self.contents: dict[str, bytes] = {}    # by digest, packed
         self.wants: dict[str, list[tuple[float, Callable[[], None]]]] = {}  # what waits for a content, and since when
@@ -69,8 +69,8 @@
         self.about: dict[str, dict] = {}        # what fronts that are connected said of themselves
         self.cold = ColdBackends(bounds, regions)
         # A first start: nothing was granted before.
-        duty = Duty(me, now if first else now + SPAN, first_number(life))
-        self.allocation = AllocationDuty(self, duty, self.cold)
+        duty = LeaderLease(me, now if first else now + LEASE_S, first_number(life))
+        self.allocation = AllocationLeader(self, duty, self.cold)
         self.read_at = -1e9     # when the newest read that ended began
         self.asks: list[tuple[str, float, float]] = []   # wait for the next read
         self.read_begun = -1e9
@@ -97,7 +97,8 @@
         self._woke(now)
         kind, *rest = message
         self.helpers.pop(peer, None)    # it speaks for itself
-        do = getattr(self.allocation, f"on_{kind}") if kind in MESSAGES else getattr(self, f"_on_{kind}", None)
+        do = (getattr(self.allocation, f"on_{kind}") if kind in ALLOCATION_MESSAGES
+              else getattr(self, f"_on_{kind}", None))
         if do is not None:
             do(peer, now, *rest)
         return self._done()
@@ -138,7 +139,7 @@
         if peer.startswith("roll@"):
             self.links.add(ip_of(peer)) if up else self.links.discard(ip_of(peer))
         if peer.startswith("roll@") and up:
-            self.members.tell_all_again()
+            self.members.resend_all()
             self.send(peer, ["probe", int(now * 1000)])
             items = [b.now(now).pack() for b in self.backends.known.values()]
             if items:
@@ -160,7 +161,7 @@
     def refused(self, peer: str, dialled_at: float, now: float) -> list:
         """A machine says that no process listens at a peer's address, to a connection dialled at that time."""
         if peer.startswith("roll@") and not self.contact.late(now):
-            self.allocation.duty.ended(ip_of(peer), dialled_at, now)
+            self.allocation.lease.handle_refused_connection(ip_of(peer), dialled_at, now)
         return self._done()
 
     def tick(self, now: float) -> list:
@@ -225,8 +226,8 @@
 
     def _forget(self, now: float) -> None:
         """Guards the memory: fronts that are no more, and words that wait for a content that nobody has any more."""
-        for ip in [m.ip for m in self.members.known.values() if now - m.heard > FORGET]:
-            self.members.forget(ip)
+        for ip in [m.ip for m in self.members.known.values() if now - m.last_request_at > FORGET]:
+            self.members.remove(ip)
         for digest, waits in list(self.wants.items()):
             self.wants[digest] = [one for one in waits if now - one[0] < WAITS]
             if not self.wants[digest]:
@@ -363,9 +364,9 @@
 
     def _gossip(self, now: float) -> None:
         """Who was heard here: backends by id, fronts whole where something of them changed."""
-        whole, brief = self.members.gossip(now, FRESH)
+        whole, brief = self.members.gossip(now, PROXY_FRESH_S)
         news, self.news = sorted(self.news), set()
-        fronts = sorted(m.ip for m in self.members.ready(now, FRESH))
+        fronts = sorted(m.ip for m in self.members.ready(now, PROXY_FRESH_S))
         if fronts != self.told_fronts:
             self.told_fronts = fronts
             for front in self.fronts:
@@ -384,12 +385,12 @@
         if revived:
             self.out.append(Note("FOUND", {"ids": ", ".join(revived)}))
             self._push(revived, now)
-        if unknown := self.members.take(whole, brief, late, now):
+        if unknown := self.members.merge(whole, brief, late, now):
             self.send(peer, ["fronts_of", unknown])
 
     def _on_fronts_of(self, peer: str, now: float, numbers: list) -> None:
         """What we told of these fronts was lost or dropped on its way."""
-        self.members.tell_again(numbers)
+        self.members.resend(numbers)
 
     def _doubt(self, now: float) -> None:
         """Ask the others before one counts as lost: a machine that hears it may be cut off from us alone."""
@@ -475,21 +476,21 @@
             return      # it may be of long ago; a front asks twice a second
         if (about := self.about.get(peer)) is None:
             return self.send(peer, ["who"])
-        self.members.fold(ip_of(peer), about["address"], about["zone"], about["region"], about["life"], ready,
+        self.members.update(ip_of(peer), about["address"], about["zone"], about["region"], about["life"], ready,
                           version, 0.0, now, True)
         self.fronts[peer] = heard
         self.asks.append((peer, now, number))
         self._read(now)
         if want:
-            self.allocation.ask(now, [ip_of(peer), about["life"], about["region"], number, *want])
+            self.allocation.forward_request(now, [ip_of(peer), about["life"], about["region"], number, *want])
 
     def _take_figures(self) -> None:
         """Go by the configuration that is newest here, if it is here."""
         digest = self.world["digest"]
-        if digest != self.allocation.figures.digest and (data := self.contents.get(digest)) is not None:
+        if digest != self.allocation.parameters.digest and (data := self.contents.get(digest)) is not None:
             configuration = config_versions.json.loads(zlib.decompress(data))
-            self.directory.homes = homes_by_host(configuration)
-            self.allocation.figures = Figures.read(digest, configuration)
+            self.directory.homes = home_regions_by_host(configuration)
+            self.allocation.parameters = AllocationParameters.from_configuration(digest, configuration)
 
     def read_for_itself(self, now: float) -> None:
         """A read that no front waits for."""
@@ -526,13 +527,13 @@
         if self.world and world["rev"] <= self.world["rev"]:
             return
         for zone in set(self.world["evac"] if self.world else ()) - set(world["evac"]):
-            self.cold.restored[zone] = now
+            self.cold.restored_at[zone] = now
         was = self.world.get("digest", "")
         moved = not self.world or self.core != {**world["ready"], **world["voters"]}
         self.world = world
         self.allocation.on_world(world["term"], now)
-        if was in ("", self.allocation.figures.digest) and world["digest"] != self.allocation.figures.digest:
-            self.allocation.behind_since = now
+        if was in ("", self.allocation.parameters.digest) and world["digest"] != self.allocation.parameters.digest:
+            self.allocation.outdated_since = now
         if world["digest"] and world["digest"] not in self.contents:
             self.want_at = now + WANT_AGAIN
             self.send(self.store, ["want", world["digest"]])
@@ -578,10 +579,10 @@
             self._on_world(peer, now, world)
         if status not in (200, 503):
             self.out.append(Note("REFUSED", {"reason": reason}))
-        if self.allocation.leading is not None and token == self.allocation.leading[0]:
+        if self.allocation.term_request is not None and token == self.allocation.term_request[0]:
             self.allocation.term_numbered(status, world, now)
             if status == 200:
                 return
-        self.allocation.roster.changed(token, status)
+        self.allocation.enrollment.proposal_answered(token, status)
         if (held := self.calls.pop(token, None)) is not None:
             held.then([status, reason])
--- a/fennelpoint/testing/core_invariants.py
+++ b/fennelpoint/testing/core_invariants.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from fennelpoint.system.proxy.placement import SECOND
-from fennelpoint.system.registry.grants import WHOLE
+from fennelpoint.system.registry.grants import TOTAL_SHARES
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store import replica as writ
 from fennelpoint.system.store.idempotency import needed
@@ -66,9 +66,9 @@
     def _check_shares(self, using: list[Front]) -> None:
         parts = [front.session.parts for front in using]
         for tenant in TENANTS:
-            if (whole := sum(p.quotas.get(tenant, 0) for p in parts)) > WHOLE:
+            if (whole := sum(p.quotas.get(tenant, 0) for p in parts)) > TOTAL_SHARES:
                 raise self._broken(f"{whole} thousandths of {tenant}'s quota are in use")
-        if (whole := sum(p.slack for p in parts)) > WHOLE:
+        if (whole := sum(p.slack for p in parts)) > TOTAL_SHARES:
             raise self._broken(f"{whole} thousandths of the slack are in use")
 
     def _check_cold(self, using: list[Front]) -> None:
@@ -94,7 +94,7 @@
     def _check_allocators(self) -> None:
         world = self.world
         desks = [core.desk for core in world.cores.values() if core.up]
-        leads = [desk for desk in desks if desk.allocation.reckons(world.now)]
+        leads = [desk for desk in desks if desk.allocation.may_grant(world.now)]
         terms = {desk.allocation.allocator.term[0] for desk in leads}
         knows = any(desk.world["term"] > desk.allocation.allocator.term[0] for desk in leads)
         self.overlap = self.overlap + STEP if len(terms) > 1 and not knows else 0.0
--- a/fennelpoint/testing/retry_simulation.py
+++ b/fennelpoint/testing/retry_simulation.py
@@ -19,7 +19,7 @@
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeaseExtended, RetryRule, leased_shares
 from fennelpoint.system.proxy.session_actions import Extend, Lend
-from fennelpoint.system.registry.allocator import HOLD, Allocator
+from fennelpoint.system.registry.allocator import READ_VALIDITY_S, Allocator
 from fennelpoint.system.settings import Bounds
 from fennelpoint.testing.retry_rule import RetryCounter
 
@@ -167,7 +167,7 @@
     def another_term(self, names: list[str] | None = None) -> None:
         """Another allocator begins, with nothing but the names of the proxies."""
         if self.terms:
-            self.terms[-1].until = self.now + HOLD
+            self.terms[-1].until = self.now + READ_VALIDITY_S
         allocator = Allocator([len(self.terms) + 1, "c"], names or list(self.proxies), self.now)
         self.terms.append(Term(allocator))
 
@@ -204,10 +204,10 @@
         self.queue = [(at + seconds, number, do) for at, number, do in self.queue]
         for term in self.terms:
             if term.until > 1e8:
-                for front in term.allocator.fronts.values():
+                for front in term.allocator.proxies.values():
                     for grant in front.grants:
-                        grant.ends += seconds
-                    front.heard += seconds
+                        grant.expires_at += seconds
+                    front.last_request_at += seconds
         for proxy in self.proxies.values():
             if proxy.runs and not proxy.cut:
                 proxy.session.parts.until += seconds
@@ -296,7 +296,7 @@
         lenders = [term for term in self.terms if self.now <= term.until]
         term = self.random.choice(lenders[-2:]).allocator
         seen, asked, holds = want
-        grant = term.want(proxy.ip, proxy.life, "r", seen, asked, holds, {}, {}, self.now)
+        grant = term.request_grant(proxy.ip, proxy.life, "r", seen, asked, holds, {}, {}, self.now)
         if grant is None:
             answer(["tell", term.term])
         else:
--- a/fennelpoint/testing/scenario_language.py
+++ b/fennelpoint/testing/scenario_language.py
@@ -124,10 +124,10 @@
                 self._span(front, front.session.draw({tenant: int(units)}, self.now))
             case ["claim", ip, term]:   # it holds the duty, as by voters that none of the others goes by
                 desk = self.cores[ip].desk
-                duty = desk.allocation.duty
+                duty = desk.allocation.lease
                 duty.term, duty.held_until, duty.claimed_at = (int(term), ip), self.now + 1.0, self.now
-                duty.granted, duty.until = ip, self.now + 1.2
-                desk.allocation.lead(self.now)
+                duty.granted_to, duty.granted_until = ip, self.now + 1.2
+                desk.allocation.request_term(self.now)
                 self._roll(self.cores[ip], desk._done())
             case ["expect", *rest]:
                 if not self._holds(rest):
--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -145,12 +145,12 @@
     for turn in range(60):
         now = 0.5 * turn
         for front in fronts:
-            grant = allocator.want(front, 1, "ra", newest, {"t": asked[front]}, None, {"t": 20.0}, {}, now)
+            grant = allocator.request_grant(front, 1, "ra", newest, {"t": asked[front]}, None, {"t": 20.0}, {}, now)
             parts[front] = grant.quotas.get("t", 0)
     assert parts["f1"] > 700 > 300 > parts["f2"] > 50 and sum(parts.values()) <= 1000
     for turn in range(60, 300):
         now = 0.5 * turn
         for front in fronts:    # silent: even shares again
-            grant = allocator.want(front, 1, "ra", newest, {}, None, {"t": 20.0}, {}, now)
+            grant = allocator.request_grant(front, 1, "ra", newest, {}, None, {"t": 20.0}, {}, now)
             parts[front] = grant.quotas.get("t", 0)
     assert all(280 < part < 380 for part in parts.values()) and PERIOD == 0.5
--- a/tests/system/test_allocation_leader.py
+++ b/tests/system/test_allocation_leader.py
@@ -4,10 +4,10 @@
 from types import SimpleNamespace
 
 from fennelpoint.system.actions import Note, Send
-from fennelpoint.system.registry.allocation_leader import AllocationDuty
+from fennelpoint.system.registry.allocation_leader import AllocationLeader
 from fennelpoint.system.registry.allocation_parameters import ColdBackends
 from fennelpoint.system.registry.backend_table import Backends
-from fennelpoint.system.registry.leader_lease import Duty
+from fennelpoint.system.registry.leader_lease import LeaderLease
 from fennelpoint.system.settings import Bounds
 
 BOUNDS = SimpleNamespace(quota_slack=20.0, cold_overshoot=1.5, cold_slack=10)
@@ -58,29 +58,29 @@
     def __init__(self) -> None:
         self.registry = Registry()
         cold = ColdBackends(self.registry.bounds, {})
-        self.duty = AllocationDuty(self.registry, Duty("a", 0.0), cold)
+        self.leader = AllocationLeader(self.registry, LeaderLease("a", 0.0), cold)
         self.now, self.granting, self.heard = 10.0, True, 0
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
-            self.duty.tick(self.now, claims=True)
+            self.leader.tick(self.now, claims=True)
             for _, term, _, number in self.registry.sent("claim")[self.heard :]:
                 for voter in ("b", "c") if self.granting else ():
-                    self.duty.on_granted(f"roll@{voter}", self.now, term, number, True)
+                    self.leader.on_granted(f"roll@{voter}", self.now, term, number, True)
             self.heard = len(self.registry.sent("claim"))
 
     def numbered(self, term: int) -> None:
         """The store has given the newest call this term."""
         world = {**self.registry.world, "term": term}
         self.passed_by(term)
-        self.duty.term_numbered(200, world, self.now)
+        self.leader.term_numbered(200, world, self.now)
 
     def passed_by(self, term: int) -> None:
         """Another's call was given that term."""
         if term > self.registry.world["term"]:
             self.registry.world = {**self.registry.world, "term": term}
-            self.duty.on_world(term, self.now)
+            self.leader.on_world(term, self.now)
 
 
 def leading() -> Played:
@@ -95,7 +95,7 @@
     """Who called for it has lost the duty before it was numbered: nobody would lend until that lease's end."""
     played = leading()
     played.passed_by(6)
-    assert played.duty.allocator is None
+    assert played.leader.allocator is None
     played.run(0.6)
     assert len(played.registry.calls()) == 2
     played.numbered(7)
@@ -118,8 +118,8 @@
     """Voters change, so that two may hold it by majorities that don't meet."""
     played = leading()
     played.passed_by(6)
-    played.duty.on_leads("roll@b", played.now, [6, "b"])
-    assert not played.duty.duty.holds(played.now)
+    played.leader.on_leads("roll@b", played.now, [6, "b"])
+    assert not played.leader.lease.holds(played.now)
     played.granting = False
     played.run(0.4)
     assert len(played.registry.calls()) == 1
@@ -127,8 +127,8 @@
 
 def test_word_of_an_earlier_leader_that_comes_late_moves_no_holder() -> None:
     played = leading()
-    played.duty.on_leads("roll@b", played.now, [4, "b"])
-    assert played.duty.duty.holds(played.now) and played.duty.allocator is not None
+    played.leader.on_leads("roll@b", played.now, [4, "b"])
+    assert played.leader.lease.holds(played.now) and played.leader.allocator is not None
 
 
 def test_a_call_for_a_term_is_withdrawn_with_the_lease_that_it_was_made_by() -> None:
@@ -138,5 +138,5 @@
     (token,) = played.registry.calls()
     played.granting = False
     played.run(1.5)
-    assert not played.duty.duty.holds(played.now)
+    assert not played.leader.lease.holds(played.now)
     assert played.registry.sent("withdraw") == [["withdraw", token]]
--- a/tests/system/test_directory.py
+++ b/tests/system/test_directory.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fennelpoint.system.registry.directory import Homes, homes_by_host
+from fennelpoint.system.registry.directory import HomeRegions, home_regions_by_host
 from fennelpoint.testing.core_simulation import World, play
 
 SITE = (Path(__file__).parent / "scenarios" / "site").read_text() + "front fd zd ra\nboot fd\n"
@@ -53,7 +53,7 @@
     )
     known, truth = (world.cores[ip].desk.members.known["fd"] for ip in ("c1", "a2"))
     assert (
-        (known.ready, known.version, known.life) == (truth.ready, truth.version, truth.life) == (True, 3, truth.life)
+        (known.ready, known.version, known.incarnation) == (truth.ready, truth.version, truth.incarnation) == (True, 3, truth.incarnation)
     )
 
 
@@ -79,6 +79,6 @@
         return {"host": host, "rule_set": [{"route_action": {"home_regions": regions}} for regions in homes]}
 
     table = [listener("h.example", ["ra", "rb"]), listener("H.example", ["rb", "rc"], []), listener("other", [])]
-    assert homes_by_host({"listener_table": table}) == {
-        "h.example": Homes(frozenset(["rb"]), frozenset(["ra", "rb", "rc"]))
+    assert home_regions_by_host({"listener_table": table}) == {
+        "h.example": HomeRegions(frozenset(["rb"]), frozenset(["ra", "rb", "rc"]))
     }
--- a/tests/system/test_directory_decider.py
+++ b/tests/system/test_directory_decider.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from fennelpoint.system.registry.directory import Directory, Homes
-from fennelpoint.system.registry.membership import Members
+from fennelpoint.system.registry.directory import Directory, HomeRegions
+from fennelpoint.system.registry.membership import Membership
 
 TTL, GRACE = 2.0, 6.0  # s
 LONG_IN_TOUCH, NOW = 100.0, 200.0  # s
@@ -12,11 +12,11 @@
 
 def directory(unready: set[str], homes: list[str], host: str = "h.example") -> Directory:
     """One that has just heard all proxies, of which some are not ready."""
-    members = Members()
+    members = Membership()
     for proxy, region in PLACES.items():
-        members.fold(proxy, proxy, f"z{region}", region, 1, proxy not in unready, 3, 0.1, NOW)
+        members.update(proxy, proxy, f"z{region}", region, 1, proxy not in unready, 3, 0.1, NOW)
     made = Directory("a1", members, TTL, GRACE, 0.0)
-    made.homes = {host: Homes(frozenset(homes), frozenset(homes))} if homes else {}
+    made.homes = {host: HomeRegions(frozenset(homes), frozenset(homes))} if homes else {}
     return made
 
 
@@ -59,15 +59,15 @@
 
 def test_a_registry_whose_state_of_a_proxy_differs_asks_for_the_whole() -> None:
     """A word that waited seems newer than the one after it, which was dropped; the old state stayed for good."""
-    here, there = Members(), Members()
-    there.fold("fa", "fa", "za", "ra", 1, True, 3, 0.0, NOW, direct=True)
+    here, there = Membership(), Membership()
+    there.update("fa", "fa", "za", "ra", 1, True, 3, 0.0, NOW, is_direct=True)
     whole, brief = there.gossip(NOW, 1.8)
-    assert here.take(whole, brief, 0.0, NOW) == []
+    assert here.merge(whole, brief, 0.0, NOW) == []
     here.known["fa"].ready = False  # as an old word that was kept has it
     whole, brief = there.gossip(NOW + 0.6, 1.8)
-    assert whole == [] and here.take(whole, brief, 0.0, NOW + 0.6) == ["fa"]
-    there.tell_again(["fa"])
-    here.take(*there.gossip(NOW + 1.2, 1.8), 0.0, NOW + 1.2)
+    assert whole == [] and here.merge(whole, brief, 0.0, NOW + 0.6) == ["fa"]
+    there.resend(["fa"])
+    here.merge(*there.gossip(NOW + 1.2, 1.8), 0.0, NOW + 1.2)
     assert here.known["fa"].ready
 
 
@@ -79,7 +79,7 @@
 
     def say(self, proxy: str, ready: bool, at: float, life: int = 1) -> None:
         """One of the proxies asks at that time, and says how it is."""
-        self.made.members.fold(proxy, proxy, f"z{PLACES[proxy]}", PLACES[proxy], life, ready, 3, 0.0, at)
+        self.made.members.update(proxy, proxy, f"z{PLACES[proxy]}", PLACES[proxy], life, ready, 3, 0.0, at)
 
     def told(self, region: str, at: float) -> list[str]:
         """Whom a client of that region is sent to."""
@@ -113,8 +113,8 @@
 
 def test_a_host_whose_routes_share_no_home_leads_to_those_of_any_only_once_the_own_region_is_lost() -> None:
     made = directory({"fd"}, [])
-    made.homes = {"h.example": Homes(frozenset(), frozenset(["ra", "rb"]))}
+    made.homes = {"h.example": HomeRegions(frozenset(), frozenset(["ra", "rb"]))}
     assert named(made, "ra") == ["fa"]  # a second one would be astray for some of the routes
     assert named(directory({"fa", "fd"}, []), "ra") == ["fb", "fc"]
-    made.members.known["fa"].heard = made.members.known["fd"].heard = made.members.known["fd"].unready_since = 0.0
+    made.members.known["fa"].last_request_at = made.members.known["fd"].last_request_at = made.members.known["fd"].unready_since = 0.0
     assert named(made, "ra") == ["fb"]
--- a/tests/system/test_front.py
+++ b/tests/system/test_front.py
@@ -12,7 +12,7 @@
 from fennelpoint.system import settings
 from fennelpoint.system.proxy.events import RetryRule
 from fennelpoint.system.proxy.program import Program
-from fennelpoint.system.registry.grants import GRANT_LIFE
+from fennelpoint.system.registry.grants import GRANT_TTL_S
 from fennelpoint.testing.process import free_port
 
 CONFIGURATION = {"version": 3, "clusters": [{"name": "svc"}], "listener_table": [{"host": "h", "rule_set": [
@@ -167,7 +167,7 @@
         program.take(CORE, ["lend", session._number(time.monotonic()), *grant])
         assert decider.slack == 100 * 0.9 * 0.5
         first = decider.leased_until
-        assert 0.0 < first - program.host.clock() <= GRANT_LIFE
+        assert 0.0 < first - program.host.clock() <= GRANT_TTL_S
         await asyncio.sleep(0)
         program.take(CORE, ["lend", session._number(time.monotonic() + 0.5), *grant[:2], None])
         assert decider.leased_until - first > 0.4
--- a/tests/system/test_hot_day.py
+++ b/tests/system/test_hot_day.py
@@ -10,7 +10,7 @@
 from fennelpoint.system.proxy.controller import Decider
 from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeasedShares, UnitsGranted, UnitsNeeded
 from fennelpoint.system.registry.allocator import Allocator
-from fennelpoint.system.registry.grants import DRAW_LIFE, GRANT_LIFE
+from fennelpoint.system.registry.grants import GRANT_TTL_S, POOL_UNIT_TTL_S
 
 TENANTS, WINDOW, SLACK, OVER = ("hot", "a", "b"), 5.0, 20.0, 0.1
 WAY, ANSWER = 0.02, 0.1     # s from a front to the reckoner; of a backend
@@ -52,10 +52,11 @@
         asked, self.since[name] = self.since[name], dict.fromkeys(TENANTS, 0)
         sent = self.now
         rates = dict.fromkeys(TENANTS, self.rate)
-        grant = self.allocator.want(name, 1, "r", self.seen[name], asked, None, rates, {}, self.now)
+        grant = self.allocator.request_grant(name, 1, "r", self.seen[name], asked, None, rates, {}, self.now)
         self.later(0.5, self.renew, name)
         if grant is not None:
-            self.later(2 * WAY, self.lend, name, [self.allocator.term, grant.number], grant.quotas, sent + GRANT_LIFE)
+            self.later(
+                2 * WAY, self.lend, name, [self.allocator.term, grant.number], grant.quotas, sent + GRANT_TTL_S)
 
     def lend(self, name: str, seen: list, quotas: dict, until: float) -> None:
         self.seen[name] = seen
@@ -64,11 +65,11 @@
 
     def draw(self, name: str, customer: int, units: float, stamp: float) -> None:
         rates = dict.fromkeys(TENANTS, self.rate)
-        drawn = self.allocator.draw(name, {TENANTS[customer]: units}, rates, rates, SLACK, self.now)
+        drawn = self.allocator.take_from_pools(name, {TENANTS[customer]: units}, rates, rates, SLACK, self.now)
         if drawn is not None:
             given, denied = ({TENANTS.index(t): n for t, n in part.items()} for part in drawn[:2])
             soon = {TENANTS.index(t) for t in drawn[2]}
-            self.later(WAY, self.give, name, UnitsGranted(given, denied, stamp + DRAW_LIFE, soon))
+            self.later(WAY, self.give, name, UnitsGranted(given, denied, stamp + POOL_UNIT_TTL_S, soon))
 
     def give(self, name: str, event) -> None:
         for action in self.fronts[name].handle(event, self.now):
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -16,8 +16,8 @@
 from fennelpoint.system.proxy.session_actions import Hold
 from fennelpoint.system.registry import leader_lease, state_machine
 from fennelpoint.system.registry.allocator import Allocator
-from fennelpoint.system.registry.grants import GRANT_LIFE, WHOLE
-from fennelpoint.system.registry.leader_lease import SPAN, Duty
+from fennelpoint.system.registry.grants import GRANT_TTL_S, TOTAL_SHARES
+from fennelpoint.system.registry.leader_lease import LEASE_S, LeaderLease
 from fennelpoint.system.store import replica
 from fennelpoint.system.store.replica import FOUNDED, KEY, Send, Store
 from fennelpoint.system.store.replicated_state import empty
@@ -97,37 +97,38 @@
     assert any(isinstance(a, Hold) and a.held for a in out) is not fenced
 
 
-def two_hold(reborn: Duty) -> bool:
+def two_hold(reborn: LeaderLease) -> bool:
     """A claimant dies while grants are on their way to it; whether its next life and another both hold the duty."""
-    first, other = Duty("a", 0.0, first_number(1)), Duty("b", 0.0, first_number(3))
-    voters = {ip: Duty(ip, 0.0) for ip in "cde"}
-    term, late = first.due(0.2, 0, True), []
+    first, other = LeaderLease("a", 0.0, first_number(1)), LeaderLease("b", 0.0, first_number(3))
+    voters = {ip: LeaderLease(ip, 0.0) for ip in "cde"}
+    term, late = first.next_claim(0.2, 0, True), []
     for ip, voter in voters.items():
-        late.append((term, first.claims, ip, voter.claimed(term, False, first.claims, 0.2)))
-    mine = reborn.due(1.1, 0, True)
-    assert other.due(1.1, 1, True) is None      # it may claim from now on: the second in line, after its turn
+        late.append((term, first.last_claim, ip, voter.handle_claim(term, False, first.last_claim, 0.2)))
+    mine = reborn.next_claim(1.1, 0, True)
+    assert other.next_claim(1.1, 1, True) is None      # it may claim from now on: the second in line, after its turn
     for _, claim, ip, firm in late:
-        reborn.voted(mine, claim, ip, firm, "abcde", 1.15)
-    now = 0.2 + SPAN + 0.3
-    other.highest = 5
-    theirs = other.due(now, 1, True)
+        reborn.handle_grant(mine, claim, ip, firm, "abcde", 1.15)
+    now = 0.2 + LEASE_S + 0.3
+    other.highest_term = 5
+    theirs = other.next_claim(now, 1, True)
     for ip, voter in voters.items():
-        if (firm := voter.claimed(theirs, False, other.claims, now)) is not None:
-            other.voted(theirs, other.claims, ip, firm, "abcde", now)
+        if (firm := voter.handle_claim(theirs, False, other.last_claim, now)) is not None:
+            other.handle_grant(theirs, other.last_claim, ip, firm, "abcde", now)
     assert other.holds(now)
     return reborn.holds(now)
 
 
 def test_a_grant_to_a_former_life_does_not_count_for_its_next_claim() -> None:
-    assert not two_hold(Duty("a", 0.9 + SPAN, first_number(2)))
-    assert two_hold(Duty("a", 0.9 + SPAN, first_number(1)))     # planted: its claims bear the former life's numbers
+    assert not two_hold(LeaderLease("a", 0.9 + LEASE_S, first_number(2)))
+    # planted: its claims bear the former life's numbers
+    assert two_hold(LeaderLease("a", 0.9 + LEASE_S, first_number(1)))
 
 
 def test_a_claim_given_up_by_a_former_life_releases_nothing_of_the_next(fenced: bool) -> None:
-    voter = Duty("v", 0.0)
-    voter.claimed((1, "a"), False, first_number(2) + 1, 5.0)
-    voter.released((1, "a"), first_number(3) + 9, 5.05)
-    assert (voter.claimed((2, "b"), False, 1, 5.1) is None) is fenced
+    voter = LeaderLease("v", 0.0)
+    voter.handle_claim((1, "a"), False, first_number(2) + 1, 5.0)
+    voter.handle_release((1, "a"), first_number(3) + 9, 5.05)
+    assert (voter.handle_claim((2, "b"), False, 1, 5.1) is None) is fenced
 
 
 def test_a_content_that_was_stored_for_a_former_life_has_no_holder_by_it(fenced: bool) -> None:
@@ -177,27 +178,28 @@
 def test_a_late_word_of_a_front_that_died_does_not_speak_for_its_next_life() -> None:
     """The next life holds parts of the reckoner before; by the late ask it held nothing, and all was lent anew."""
     allocator = Allocator([2, "b"], ["f", "g"], 10.0)
-    late = allocator.want("f", 1, "ra", [[0, ""], 0], {}, None, {"t": 20.0}, {}, 10.1)
-    other = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.2)
+    late = allocator.request_grant("f", 1, "ra", [[0, ""], 0], {}, None, {"t": 20.0}, {}, 10.1)
+    other = allocator.request_grant("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.2)
     assert late is None and (other is None or not other.quotas)
-    held = [{"t": 900}, {}, 0, [2, "b"], GRANT_LIFE]
-    allocator.want("f", 2, "ra", [[1, "a"], 7], {"t": 1}, held, {"t": 20.0}, {}, 10.3)
-    other = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.4)
-    assert 0 < other.quotas["t"] <= WHOLE - 900
+    held = [{"t": 900}, {}, 0, [2, "b"], GRANT_TTL_S]
+    allocator.request_grant("f", 2, "ra", [[1, "a"], 7], {"t": 1}, held, {"t": 20.0}, {}, 10.3)
+    other = allocator.request_grant("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.4)
+    assert 0 < other.quotas["t"] <= TOTAL_SHARES - 900
     # Nor does a word that was said to the reckoner before.
     another = Allocator([3, "c"], ["f", "g"], 20.0)
-    assert another.want("f", 2, "ra", [[1, "a"], 7], {}, held, {"t": 20.0}, {}, 20.1) is None
+    assert another.request_grant("f", 2, "ra", [[1, "a"], 7], {}, held, {"t": 20.0}, {}, 20.1) is None
 
 
 def test_a_late_ask_of_a_former_life_takes_nothing_from_the_one_that_lives() -> None:
     allocator, rates = Allocator([2, "b"], ["f", "g"], 10.0), {"t": 20.0}
-    allocator.want("g", 5, "ra", [[2, "b"], 0], {}, None, rates, {}, 10.1)
-    mine = allocator.want("f", 2, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.2)
+    allocator.request_grant("g", 5, "ra", [[2, "b"], 0], {}, None, rates, {}, 10.1)
+    mine = allocator.request_grant("f", 2, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.2)
     assert mine.quotas["t"] > 600
-    allocator.want("f", 1, "ra", [[2, "b"], 0], {}, None, rates, {}, 10.3)    # late: it is long dead
-    other = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.4)
-    assert other.quotas["t"] <= WHOLE - mine.quotas["t"]
-    assert allocator.want("f", 2, "ra", [[2, "b"], mine.number], {"t": 50}, None, rates, {}, 10.5) is not None
+    allocator.request_grant("f", 1, "ra", [[2, "b"], 0], {}, None, rates, {}, 10.3)    # late: it is long dead
+    other = allocator.request_grant("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.4)
+    assert other.quotas["t"] <= TOTAL_SHARES - mine.quotas["t"]
+    assert allocator.request_grant(
+        "f", 2, "ra", [[2, "b"], mine.number], {"t": 50}, None, rates, {}, 10.5) is not None
 
 
 def test_a_fresh_front_takes_no_parts_of_a_reckoner_that_another_has_followed() -> None:
--- a/tests/system/test_leader_lease.py
+++ b/tests/system/test_leader_lease.py
@@ -1,4 +1,4 @@
-"""The duty is taken soon after all machines have come back, whoever comes first, and whoever stays away."""
+"""The lease is taken soon after all machines have come back, whoever comes first, and whoever stays away."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from fennelpoint.system.registry.leader_lease import SPAN, TURN, Duty
+from fennelpoint.system.registry.leader_lease import LEASE_S, RANK_DELAY_S, LeaderLease
 
 STEP = 0.01  # s between two turns of a machine
 LINE = ("a", "b", "c", "d", "e")
@@ -21,10 +21,10 @@
     name: str
     up_at: float
     votes_known_at: float
-    duty: Duty = field(init=False)
+    lease: LeaderLease = field(init=False)
 
     def __post_init__(self) -> None:
-        self.duty = Duty(self.name, self.up_at + SPAN)
+        self.lease = LeaderLease(self.name, self.up_at + LEASE_S)
 
 
 class Machines:
@@ -60,48 +60,48 @@
             self.mail.append((self.now + self.random.uniform(0.001, 0.03), sender, to, (kind, *what)))
 
     def run(self, until: float) -> float | None:
-        """When a machine holds the duty; none: none does by then."""
+        """When a machine holds the lease; none: none does by then."""
         while self.now < until:
             self.now += STEP
             due = sorted((one for one in self.mail if one[0] <= self.now), key=lambda one: one[0])
             self.mail = [one for one in self.mail if one[0] > self.now]
             for _, sender, to, message in due:
-                if self.hear(self.all[to].duty, sender, *message):
+                if self.hear(self.all[to].lease, sender, *message):
                     return self.now
             for name in sorted(self.up()):
                 self.turn(self.all[name])
         return None
 
-    def hear(self, duty: Duty, sender: str, kind: str, *what: object) -> bool:
+    def hear(self, lease: LeaderLease, sender: str, kind: str, *what: object) -> bool:
         if kind == "claim":
             term, number = what
-            if (firm := duty.claimed(term, False, number, self.now)) is not None:
-                self.tell(duty.me, sender, "granted", term, number, firm)
+            if (firm := lease.handle_claim(term, False, number, self.now)) is not None:
+                self.tell(lease.me, sender, "granted", term, number, firm)
         elif kind == "granted":
             term, number, firm = what
-            if term != duty.term:
-                self.tell(duty.me, sender, "released", term, number)
-            return duty.voted(term, number, sender, firm, LINE, self.now)
+            if term != lease.term:
+                self.tell(lease.me, sender, "released", term, number)
+            return lease.handle_grant(term, number, sender, firm, LINE, self.now)
         else:
-            duty.released(*what, self.now)
+            lease.handle_release(*what, self.now)
         return False
 
     def turn(self, machine: Machine) -> None:
-        duty = machine.duty
+        lease = machine.lease
         if (
             self.now >= machine.votes_known_at
-            and (term := duty.due(self.now, LINE.index(duty.me), len(self.linked(duty.me)) > len(LINE) // 2))
+            and (term := lease.next_claim(self.now, LINE.index(lease.me), len(self.linked(lease.me)) > len(LINE) // 2))
             is not None
         ):
-            for other in sorted(self.all.keys() - {duty.me}):
-                self.tell(duty.me, other, "claim", term, duty.claims)
-            if (firm := duty.claimed(term, False, duty.claims, self.now)) is not None:
-                duty.voted(term, duty.claims, duty.me, firm, LINE, self.now)
-        if duty.left is not None:
-            for other in sorted(self.all.keys() - {duty.me}):
-                self.tell(duty.me, other, "released", duty.left, duty.claims)
-            duty.released(duty.left, duty.claims, self.now)
-            duty.left = None
+            for other in sorted(self.all.keys() - {lease.me}):
+                self.tell(lease.me, other, "claim", term, lease.last_claim)
+            if (firm := lease.handle_claim(term, False, lease.last_claim, self.now)) is not None:
+                lease.handle_grant(term, lease.last_claim, lease.me, firm, LINE, self.now)
+        if lease.released_term is not None:
+            for other in sorted(self.all.keys() - {lease.me}):
+                self.tell(lease.me, other, "released", lease.released_term, lease.last_claim)
+            lease.handle_release(lease.released_term, lease.last_claim, self.now)
+            lease.released_term = None
 
 
 def test_machines_that_all_come_back_at_once_agree_on_one_without_waiting_for_grants_to_end() -> None:
@@ -123,33 +123,33 @@
     absent: frozenset[str],
 ) -> None:
     took = [Machines(Random(seed), absent).run(10.0) for seed in range(200)]
-    late = [(seed, at) for seed, at in enumerate(took) if at is None or at > 0.6 + SPAN]
+    late = [(seed, at) for seed, at in enumerate(took) if at is None or at > 0.6 + LEASE_S]
     assert late == []
 
 
-def voter_of(holder: str, claimed_at: float) -> Duty:
-    """One that has granted the duty to a holder, which holds it by all."""
-    voter = Duty("e", -SPAN)
-    assert voter.claimed((7, holder), True, 1, claimed_at)
+def voter_of(holder: str, claimed_at: float) -> LeaderLease:
+    """One that has granted the lease to a holder, which holds it by all."""
+    voter = LeaderLease("e", -LEASE_S)
+    assert voter.handle_claim((7, holder), True, 1, claimed_at)
     return voter
 
 
 def test_a_holder_whose_process_has_ended_makes_room_at_once() -> None:
     """Its machine refuses connections: whoever held the lease is no more, and nobody waits for the lease to end."""
     voter = voter_of("a", 10.0)
-    assert voter.due(10.05, 1, True) is None
-    voter.ended("a", 10.1, 10.1)
-    assert voter.due(10.11, 1, True) is None  # the first in line has its turn
-    assert voter.due(10.1 + TURN + 0.01, 1, True) == (8, "e")
+    assert voter.next_claim(10.05, 1, True) is None
+    voter.handle_refused_connection("a", 10.1, 10.1)
+    assert voter.next_claim(10.11, 1, True) is None  # the first in line has its turn
+    assert voter.next_claim(10.1 + RANK_DELAY_S + 0.01, 1, True) == (8, "e")
     another = voter_of("a", 10.0)
-    another.ended("a", 10.1, 10.1)
-    assert another.claimed((8, "b"), False, 1, 10.15)
+    another.handle_refused_connection("a", 10.1, 10.1)
+    assert another.handle_claim((8, "b"), False, 1, 10.15)
 
 
 @pytest.mark.parametrize("refused_by, dialled_at", [("b", 10.1), ("a", 9.95)])
 def test_a_refusal_of_another_or_from_before_the_grant_releases_nothing(refused_by: str, dialled_at: float) -> None:
-    """The holder's next life was granted the duty after the dialling that its former life's end refused."""
+    """The holder's next life was granted the lease after the dialling that its former life's end refused."""
     voter = voter_of("a", 10.0)
-    voter.ended(refused_by, dialled_at, 10.1)
-    assert voter.claimed((8, "c"), False, 1, 10.2) is None
-    assert voter.due(10.1 + 2 * TURN, 1, True) is None
+    voter.handle_refused_connection(refused_by, dialled_at, 10.1)
+    assert voter.handle_claim((8, "c"), False, 1, 10.2) is None
+    assert voter.next_claim(10.1 + 2 * RANK_DELAY_S, 1, True) is None
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -70,7 +70,7 @@
         store, desk = core.store, core.desk
         return (core.up and store.keeper.votes and store.world.get("version") == self.made
                 and desk.world.get("rev", -1) >= newest - 1
-                and desk.allocation.figures.digest == store.world["digest"]
+                and desk.allocation.parameters.digest == store.world["digest"]
                 and store.world["digest"] in core.contents)
 
     def back(self, ip: str) -> tuple[float, int]:
--- a/tests/system/test_parts.py
+++ b/tests/system/test_parts.py
@@ -19,18 +19,18 @@
 from fennelpoint.system.proxy.session_actions import Units
 from fennelpoint.system.registry import allocator as allocator_module
 from fennelpoint.system.registry.allocator import (
-    FORGET,
-    GIVEN,
-    HOLD,
-    POOL_BURST,
-    POOL_START,
+    FORGET_PROXY_S,
+    GRANTABLE_SHARES,
+    READ_VALIDITY_S,
+    POOL_BURST_PART,
+    POOL_INITIAL_PART,
     Allocator,
-    Front,
+    ProxyState,
 )
-from fennelpoint.system.registry.grants import DRAW_LIFE, GRANT_LIFE, WHOLE, Grant
-from fennelpoint.system.registry.live_proxies import Census
-from fennelpoint.system.registry.outstanding_grants import Thing, most_in_use
-from fennelpoint.system.registry.proxy_enrollment import Roster
+from fennelpoint.system.registry.grants import POOL_UNIT_TTL_S, GRANT_TTL_S, TOTAL_SHARES, Grant
+from fennelpoint.system.registry.live_proxies import LiveProxies
+from fennelpoint.system.registry.outstanding_grants import Resource, max_shares_in_use
+from fennelpoint.system.registry.proxy_enrollment import ProxyEnrollment
 from fennelpoint.system.store.replicated_state import dismiss, empty, enrol, lead
 
 FRONTS, RATES = ("f1", "f2", "f3"), {"t1": 20.0, "t2": 3.0}
@@ -44,18 +44,18 @@
 
     allocator: Allocator
     knows: dict
-    roster: Roster = field(default_factory=Roster)
+    enrollment: ProxyEnrollment = field(default_factory=ProxyEnrollment)
     under_way: list[tuple[int, str, list]] = field(default_factory=list)
     until: float = 1e9      # it may lend no longer
     tokens: int = 0
 
     def tend(self, now: float) -> None:
-        if now <= self.until and (due := self.roster.due(self.allocator, self.knows["fronts"], self.tokens + 1, now)):
+        if now <= self.until and (due := self.enrollment.next_change(self.allocator, self.knows["fronts"], self.tokens + 1, now)):
             self.tokens += 1
             self.under_way.append((self.tokens, *due))
 
 
-class Lending(RuleBasedStateMachine):
+class AllocationMachine(RuleBasedStateMachine):
     """Fronts, one reckoner after the other, and messages that come late, twice or never."""
 
     CHANGES = {"enrol": enrol, "dismiss": dismiss}
@@ -104,11 +104,11 @@
 
     def _hear(self, ask: tuple, back: int) -> None:
         ip, life, number, seen, asked, holds = ask
-        if (one := self._which(back)) is None or not one.roster.admits(ip, one.knows["fronts"]):
+        if (one := self._which(back)) is None or not one.enrollment.admits(ip, one.knows["fronts"]):
             return
         front, allocator = self.fronts[ip], one.allocator
         allocator.enrol([ip], self.now)
-        grant = allocator.want(ip, life, "ra", seen, asked, holds, RATES, COLD, self.now)
+        grant = allocator.request_grant(ip, life, "ra", seen, asked, holds, RATES, COLD, self.now)
         if grant is None:
             front._on_tell("roll@a", self.now, allocator.term)
         else:
@@ -143,7 +143,7 @@
             one.knows = self.agreed
             if self.agreed["term"] > one.allocator.term[0]:
                 one.until = min(one.until, self.now - 0.001)
-        one.roster.changed(token, 200 if outcome == "taken" else 503)
+        one.enrollment.proposal_answered(token, 200 if outcome == "taken" else 503)
 
     @rule(ip=st.sampled_from(FRONTS), units=st.integers(1, 30), late=st.sampled_from([0.0, 0.3, 0.6]),
           back=st.integers(0, 1))
@@ -152,15 +152,15 @@
         if (one := self._which(back)) is None:
             return
         allocator = one.allocator
-        drawn = allocator.draw(ip, {"t2": units}, RATES, {"t2": BURST}, SLACK, self.now)
+        drawn = allocator.take_from_pools(ip, {"t2": units}, RATES, {"t2": BURST}, SLACK, self.now)
         if drawn is None:
             return
         given, denied, soon = drawn
         assert given.get("t2", 0) + denied.get("t2", 0) in (0, units)
         if "t2" in allocator.pools:
-            thing = Thing("quotas", "t2")
-            lent = sum(most_in_use(f.grants, self.now).get(thing, 0) for f in allocator.fronts.values())
-            assert allocator.pools["t2"].part <= max(0, WHOLE - lent) / WHOLE
+            thing = Resource("quotas", "t2")
+            lent = sum(max_shares_in_use(f.grants, self.now).get(thing, 0) for f in allocator.proxies.values())
+            assert allocator.pools["t2"].quota_part <= max(0, TOTAL_SHARES - lent) / TOTAL_SHARES
         front = self.fronts[ip]
         front.out.clear()
         front._on_units("roll@a", self.now + late, front._number(self.now), allocator.term, given, denied, soon)
@@ -181,7 +181,7 @@
     def lose(self) -> None:
         self.sent.pop()
 
-    @rule(span=st.sampled_from([0.1, 0.5, 2.0, GRANT_LIFE, FORGET + 0.1]))
+    @rule(span=st.sampled_from([0.1, 0.5, 2.0, GRANT_TTL_S, FORGET_PROXY_S + 0.1]))
     def wait(self, span: float) -> None:
         before = [(ip, f.parts.until, f.parts.cold.get("s1", 0)) for ip, f in self.fronts.items()]
         self.now += span
@@ -203,7 +203,7 @@
     def another(self) -> None:
         """The reckoner is gone, and another one begins; nothing of what it knew is left but its proposals."""
         if self.reckoners:
-            self.reckoners[-1].until = min(self.reckoners[-1].until, self.now + HOLD)
+            self.reckoners[-1].until = min(self.reckoners[-1].until, self.now + READ_VALIDITY_S)
             self.began.append(self.now)
         self.agreed = lead()(self.agreed)
         allocator = Allocator([self.agreed["term"], "b"], self.agreed["fronts"], self.now)
@@ -220,20 +220,20 @@
     def adds_up(self) -> None:
         parts = [f.parts for f in self.fronts.values() if self.now < f.parts.until]
         for tenant in RATES:
-            assert sum(p.quotas.get(tenant, 0) for p in parts) <= WHOLE
+            assert sum(p.quotas.get(tenant, 0) for p in parts) <= TOTAL_SHARES
         assert sum(p.cold.get("s1", 0) for p in parts) <= 11
-        assert sum(p.slack for p in parts) <= WHOLE
+        assert sum(p.slack for p in parts) <= TOTAL_SHARES
 
     @invariant()
     def sums_are_those_of_the_grants(self) -> None:
         """What is kept as a sum is what going through all fronts finds, for every thing and each reckoner."""
         for one in self.reckoners:
-            counted: Counter[Thing] = Counter()
-            for front in one.allocator.fronts.values():
-                counted.update(most_in_use(front.grants, self.now))
-            for thing in (Thing("quotas", "t1"), Thing("quotas", "t2"), Thing("cold", "s1"), Thing("slack")):
-                assert one.allocator.lent.total(thing, self.now) == counted[thing]
-            assert one.allocator.unknown == {f.ip for f in one.allocator.fronts.values() if not f.known}
+            counted: Counter[Resource] = Counter()
+            for front in one.allocator.proxies.values():
+                counted.update(max_shares_in_use(front.grants, self.now))
+            for thing in (Resource("quotas", "t1"), Resource("quotas", "t2"), Resource("cold", "s1"), Resource("slack")):
+                assert one.allocator.outstanding.total(thing, self.now) == counted[thing]
+            assert one.allocator.unknown == {f.ip for f in one.allocator.proxies.values() if not f.is_known}
 
     @invariant()
     def cold_seconds_hold(self) -> None:
@@ -250,34 +250,34 @@
     @invariant()
     def windows_hold(self) -> None:
         def most(changes: int) -> float:
-            return BURST + (POOL_BURST + changes * POOL_START) * SLACK + RATES["t2"] * (WINDOW + DRAW_LIFE)
+            return BURST + (POOL_BURST_PART + changes * POOL_INITIAL_PART) * SLACK + RATES["t2"] * (WINDOW + POOL_UNIT_TTL_S)
 
         # Three reckoners in one window keep to the rules: more of them take longer than this in service.
         assert most(2) <= (RATES["t2"] * WINDOW + BURST) * 1.1 + SLACK
         for begin, _ in self.used[-40:]:
-            changes = sum(begin - DRAW_LIFE <= at < begin + WINDOW for at in self.began)
+            changes = sum(begin - POOL_UNIT_TTL_S <= at < begin + WINDOW for at in self.began)
             used = sum(units for at, units in self.used if begin <= at < begin + WINDOW)
             assert used <= most(max(2, changes))
 
 
-class Unfenced(Lending):
+class UnfencedDismissals(AllocationMachine):
     """A dismissal that does not look whether its term is over."""
 
     CHANGES = {"enrol": enrol, "dismiss": lambda fronts, term: lambda world: dismiss(fronts, world["term"])(world)}
 
 
-Lending.TestCase.settings = settings(max_examples=150, stateful_step_count=40)
-TestLending = Lending.TestCase
+AllocationMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=40)
+TestAllocationMachine = AllocationMachine.TestCase
 
 
 def test_what_a_front_held_and_has_lost_is_not_lent_to_it_again_while_one_before_may_lend_it_to_another() -> None:
-    run = Lending()
+    run = AllocationMachine()
     run.begin()
     run.exchange({"f1", "f2", "f3"})
     run.ask("f2", {"t1": 27}, False, 0)
-    run.wait(GRANT_LIFE)
+    run.wait(GRANT_TTL_S)
     run.arrive(0, False)        # late: its time is over
-    run.wait(GRANT_LIFE)
+    run.wait(GRANT_TTL_S)
     run.another()
     run.ask("f3", {}, False, 1)        # the one before still lends: all there is
     run.arrive(0, False)
@@ -285,15 +285,15 @@
     run.adds_up()
 
 
-@pytest.mark.parametrize("kind", [Lending, Unfenced])
+@pytest.mark.parametrize("kind", [AllocationMachine, UnfencedDismissals])
 def test_a_dismissal_by_a_term_that_is_over_changes_nothing_and_without_the_fence_is_found(kind: type) -> None:
     """The shortest drawn run that finds the planted fault, played again."""
     run = kind()
     run.begin()
-    run.wait(FORGET + 0.1)      # all are silent: their dismissal is proposed, and on its way
+    run.wait(FORGET_PROXY_S + 0.1)      # all are silent: their dismissal is proposed, and on its way
     run.take_over()
     run.agree(1, "taken")
-    if kind is Unfenced:
+    if kind is UnfencedDismissals:
         with pytest.raises(AssertionError):
             run.take_over()
     else:
@@ -302,10 +302,10 @@
 
 
 def test_a_grant_of_the_term_before_that_is_on_its_way_does_not_count_beside_the_new_ones() -> None:
-    run = Lending()
+    run = AllocationMachine()
     run.begin()
     run.exchange({"f1", "f2", "f3"})
-    run.wait(GRANT_LIFE)                      # what they hold has ended
+    run.wait(GRANT_TTL_S)                      # what they hold has ended
     run.ask("f1", {"t1": 30}, False, 0)        # its grant comes late
     assert len(run.sent) == 1 and run.sent[0][1][3][0]["t1"] > 300
     run.another()
@@ -330,24 +330,24 @@
     allocator, now = Allocator([1, "a"], [], 0.0), 20.0
     allocator.enrol(["f", "g"], 0.0)
     for number, (ip, part, slack, ends) in enumerate((("f", 100, 985, now - 0.5), ("g", 905, 0, now + 4.0)), 1):
-        front = allocator.fronts[ip]
-        front.told, front.life, front.grants = {1}, 1, [Grant(number, {"t1": part}, {}, slack, ends)]
-        allocator.lent.recount(front, now)
-    allocator.number = 2
-    grant = allocator.want("f", 1, "ra", [[1, "a"], 0], {"t1": 50}, None, {"t1": 20.0}, {}, now)
-    assert 0 < grant.quotas["t1"] <= WHOLE - 905
+        front = allocator.proxies[ip]
+        front.reported_incarnations, front.incarnation, front.grants = {1}, 1, [Grant(number, {"t1": part}, {}, slack, ends)]
+        allocator.outstanding.recompute(front, now)
+    allocator.last_grant_number = 2
+    grant = allocator.request_grant("f", 1, "ra", [[1, "a"], 0], {"t1": 50}, None, {"t1": 20.0}, {}, now)
+    assert 0 < grant.quotas["t1"] <= TOTAL_SHARES - 905
 
 
 def asked_by_all(fronts: int, seconds: float, monkeypatch: pytest.MonkeyPatch) -> tuple[Allocator, list[int]]:
-    """As many fronts ask twice a second each while backends are cold; the sizes of all censuses that were taken."""
+    """As many fronts ask twice a second each while backends are cold; the sizes of all snapshots that were taken."""
     sizes: list[int] = []
 
-    class Counted(allocator_module.Census):
+    class Counted(allocator_module.LiveProxies):
         def __init__(self, alive: list, rates: dict, now: float) -> None:
             super().__init__(alive, rates, now)
             sizes.append(len(self.alive))
 
-    monkeypatch.setattr(allocator_module, "Census", Counted)
+    monkeypatch.setattr(allocator_module, "LiveProxies", Counted)
     allocator, names, now = Allocator([1, "a"], [], 0.0), [f"f{i:03d}" for i in range(fronts)], 20.0
     allocator.enrol(names, 0.0)
     rates, cold = {"t1": 9000.0, "t2": 3.0}, {f"s{i}": (500, "ra") for i in range(20)}
@@ -355,7 +355,7 @@
     sizes.clear()
     for ask in range(int(2 * fronts * seconds)):
         name = names[ask % fronts]
-        grant = allocator.want(name, 1, "ra", [[1, "a"], seen[name]], {"t1": 5}, None, rates, cold, now)
+        grant = allocator.request_grant(name, 1, "ra", [[1, "a"], seen[name]], {"t1": 5}, None, rates, cold, now)
         seen[name] = grant.number
         now += 0.5 / fronts
     return allocator, sizes
@@ -370,18 +370,18 @@
 def test_parts_by_a_census_that_is_a_little_old_add_up_and_leave_nobody_out(monkeypatch) -> None:
     allocator, _ = asked_by_all(200, 4.0, monkeypatch)
     now = 24.0
-    newest = [f.grants[-1] for f in allocator.fronts.values()]
-    assert all(g.quotas["t1"] >= 2 and g.slack >= 3 and sum(g.cold.values()) >= 40 for g in newest)
-    assert GIVEN * 0.8 <= sum(g.quotas["t1"] for g in newest) <= GIVEN
-    assert allocator.lent.total(Thing("quotas", "t1"), now) <= GIVEN
-    assert all(allocator.lent.total(Thing("cold", f"s{i}"), now) <= 500 for i in range(20))
+    newest = [f.grants[-1] for f in allocator.proxies.values()]
+    assert all(g.quotas["t1"] >= 2 and g.slack >= 3 and sum(g.cold_rates.values()) >= 40 for g in newest)
+    assert GRANTABLE_SHARES * 0.8 <= sum(g.quotas["t1"] for g in newest) <= GRANTABLE_SHARES
+    assert allocator.outstanding.total(Resource("quotas", "t1"), now) <= GRANTABLE_SHARES
+    assert all(allocator.outstanding.total(Resource("cold", f"s{i}"), now) <= 500 for i in range(20))
 
 
 def test_a_front_that_joins_a_census_is_ranked_in_its_region_and_where_a_region_is_empty() -> None:
-    census = Census([Front("f1", region="ra")], {}, 0.0)
-    assert census.ranks("ra") == {"f1": 0} and census.ranks("rb") == {"f1": 0}
-    census.join(Front("f2", region="ra"))
-    assert census.ranks("ra") == {"f1": 0, "f2": 1} == census.ranks("rb")
-    census.join(Front("f3", region="rb"))
-    assert census.ranks("ra") == {"f1": 0, "f2": 1} and census.ranks("rb") == {"f3": 0}
-    assert len(census) == 3
+    snapshot = LiveProxies([ProxyState("f1", region="ra")], {}, 0.0)
+    assert snapshot.ranks("ra") == {"f1": 0} and snapshot.ranks("rb") == {"f1": 0}
+    snapshot.add(ProxyState("f2", region="ra"))
+    assert snapshot.ranks("ra") == {"f1": 0, "f2": 1} == snapshot.ranks("rb")
+    snapshot.add(ProxyState("f3", region="rb"))
+    assert snapshot.ranks("ra") == {"f1": 0, "f2": 1} and snapshot.ranks("rb") == {"f3": 0}
+    assert len(snapshot) == 3
--- a/tests/system/test_random_core_scenarios.py
+++ b/tests/system/test_random_core_scenarios.py
@@ -21,7 +21,7 @@
 
 def test_a_planted_fault_is_found_and_the_troubles_before_it_are_told(monkeypatch: pytest.MonkeyPatch) -> None:
     """An allocator that takes over and lends at once, whatever fronts hold."""
-    monkeypatch.setattr(Allocator, "settled", lambda self, now: True)
+    monkeypatch.setattr(Allocator, "all_grants_known", lambda self, now: True)
     with pytest.raises(Broken, match="thousandths .* in use\n(.*\n)*.*(kill|freeze|cut|restart)"):
         for seed in range(1, 4):
             DrawnDay(UNEVEN, seed, SECONDS).play()
