--- a/fennelpoint/system/registry/allocation_parameters.py
+++ b/fennelpoint/system/registry/allocation_parameters.py
@@ -67,12 +67,12 @@
         self, backends: Iterable[tuple[str, Backend]], parameters: AllocationParameters, now: float
     ) -> Iterable[tuple[str, tuple[int, str]]]:
         for backend_id, backend in backends:
-            told = backend.told
-            if told.state != READY:
+            report = backend.told
+            if report.state != READY:
                 continue
-            start = parameters.cold_starts.get(told.service, ColdStart())
-            if now < max(backend.cold_until, self.restored_at.get(told.zone, -1e9) + start.duration_s):
+            start = parameters.cold_starts.get(report.service, ColdStart())
+            if now < max(backend.cold_until, self.restored_at.get(report.zone, -1e9) + start.duration_s):
                 rate = int(
                     (start.attempts_per_s * self.bounds.cold_overshoot + self.bounds.cold_slack) * GRANTABLE_COLD_PART
                 )
-                yield backend_id, (max(1, rate), self.regions.get(told.zone, ""))
+                yield backend_id, (max(1, rate), self.regions.get(report.zone, ""))
--- a/tests/system/test_allocation_leader.py
+++ b/tests/system/test_allocation_leader.py
@@ -1,4 +1,4 @@
-"""The duty of allocating parts: whoever holds it has a term that leads, and nobody else's call stands in its way."""
+"""Leadership of the allocation: the holder of the lease gets a leading term, and no other request overtakes it."""
 
 from dataclasses import dataclass, field
 from types import SimpleNamespace
@@ -11,18 +11,18 @@
 from fennelpoint.system.settings import Bounds
 
 BOUNDS = SimpleNamespace(quota_slack=20.0, cold_overshoot=1.5, cold_slack=10)
-VOTERS = {"a": "za", "b": "zb", "c": "zc"}
+ZONES_BY_VOTER = {"a": "za", "b": "zb", "c": "zc"}
 
 
 @dataclass(eq=False)
 class Registry:
-    """What the duty sees of its registry; what it sends is kept."""
+    """A registry as the allocation sees it; records what is sent."""
 
     me: str = "a"
     store: str = "writ@a"
-    seeds: list[str] = field(default_factory=lambda: list(VOTERS))
+    seeds: list[str] = field(default_factory=lambda: list(ZONES_BY_VOTER))
     tokens: int = 0
-    world: dict = field(default_factory=lambda: {"voters": VOTERS, "term": 4, "fronts": ["f1"], "digest": ""})
+    world: dict = field(default_factory=lambda: {"voters": ZONES_BY_VOTER, "term": 4, "fronts": ["f1"], "digest": ""})
     links: set[str] = field(default_factory=lambda: {"b", "c"})
     fronts: dict[str, int] = field(default_factory=lambda: {"span@f1": 0})
     backends: Backends = field(default_factory=Backends)
@@ -32,7 +32,7 @@
     others: tuple[str, ...] = ("roll@b", "roll@c")
 
     def majority(self, holders: set[str]) -> bool:
-        return len(holders & VOTERS.keys()) > 1
+        return len(holders & ZONES_BY_VOTER.keys()) > 1
 
     def send(self, to: str, message: list) -> None:
         self.out.append(Send(to, message))
@@ -41,102 +41,102 @@
         self.read_at = now
 
     def sent(self, kind: str) -> list[list]:
-        """Messages of a kind that were sent so far."""
-        return [one.message for one in self.out if isinstance(one, Send) and one.message[0] == kind]
+        """Return the messages of a kind that were sent so far."""
+        return [action.message for action in self.out if isinstance(action, Send) and action.message[0] == kind]
 
-    def calls(self) -> list[int]:
-        """Tokens of the calls for a term."""
+    def term_requests(self) -> list[int]:
+        """Return the tokens of the requests for a term."""
         return [message[1] for message in self.sent("change") if message[2] == "lead"]
 
-    def led(self) -> list[int]:
-        return [one.fields["term"] for one in self.out if isinstance(one, Note) and one.event == "LEADS"]
+    def led_terms(self) -> list[int]:
+        return [action.fields["term"] for action in self.out if isinstance(action, Note) and action.event == "LEADS"]
 
 
-class Played:
-    """One machine's duty, whose claims the others grant as long as they are asked to."""
+class LeaderHarness:
+    """One machine's allocation leadership; the others grant its claims while `others_grant` is set."""
 
     def __init__(self) -> None:
         self.registry = Registry()
         cold = ColdBackends(self.registry.bounds, {})
         self.leader = AllocationLeader(self.registry, LeaderLease("a", 0.0), cold)
-        self.now, self.granting, self.heard = 10.0, True, 0
+        self.now, self.others_grant, self.handled_claims = 10.0, True, 0
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
             self.leader.tick(self.now, claims=True)
-            for _, term, _, number in self.registry.sent("claim")[self.heard :]:
-                for voter in ("b", "c") if self.granting else ():
+            for _, term, _, number in self.registry.sent("claim")[self.handled_claims :]:
+                for voter in ("b", "c") if self.others_grant else ():
                     self.leader.on_granted(f"roll@{voter}", self.now, term, number, True)
-            self.heard = len(self.registry.sent("claim"))
+            self.handled_claims = len(self.registry.sent("claim"))
 
-    def numbered(self, term: int) -> None:
-        """The store has given the newest call this term."""
+    def assign_term(self, term: int) -> None:
+        """Answer the newest request for a term with this number, as the store does."""
         world = {**self.registry.world, "term": term}
-        self.passed_by(term)
+        self.overtake(term)
         self.leader.term_numbered(200, world, self.now)
 
-    def passed_by(self, term: int) -> None:
-        """Another's call was given that term."""
+    def overtake(self, term: int) -> None:
+        """Give that term to another machine's request."""
         if term > self.registry.world["term"]:
             self.registry.world = {**self.registry.world, "term": term}
             self.leader.on_world(term, self.now)
 
 
-def leading() -> Played:
-    played = Played()
-    played.run(0.2)
-    played.numbered(5)
-    assert played.registry.led() == [5]
-    return played
-
-
-def test_a_holder_that_is_passed_by_a_term_without_a_leader_calls_for_another() -> None:
-    """Who called for it has lost the duty before it was numbered: nobody would lend until that lease's end."""
-    played = leading()
-    played.passed_by(6)
-    assert played.leader.allocator is None
-    played.run(0.6)
-    assert len(played.registry.calls()) == 2
-    played.numbered(7)
-    assert played.registry.led() == [5, 7]
-
-
-def test_a_holder_whose_own_term_was_passed_before_it_was_told_calls_for_another() -> None:
-    played = Played()
-    played.run(0.2)
-    played.passed_by(6)
-    played.numbered(5)
-    assert played.registry.led() == []
-    played.run(0.6)
-    assert len(played.registry.calls()) == 2
-    played.numbered(7)
-    assert played.registry.led() == [7]
-
-
-def test_a_holder_leaves_the_duty_to_another_that_leads_a_later_term() -> None:
-    """Voters change, so that two may hold it by majorities that don't meet."""
-    played = leading()
-    played.passed_by(6)
-    played.leader.on_leads("roll@b", played.now, [6, "b"])
-    assert not played.leader.lease.holds(played.now)
-    played.granting = False
-    played.run(0.4)
-    assert len(played.registry.calls()) == 1
-
-
-def test_word_of_an_earlier_leader_that_comes_late_moves_no_holder() -> None:
-    played = leading()
-    played.leader.on_leads("roll@b", played.now, [4, "b"])
-    assert played.leader.lease.holds(played.now) and played.leader.allocator is not None
-
-
-def test_a_call_for_a_term_is_withdrawn_with_the_lease_that_it_was_made_by() -> None:
-    """Numbered later, its term would pass that of whoever holds the duty by then."""
-    played = Played()
-    played.run(0.2)
-    (token,) = played.registry.calls()
-    played.granting = False
-    played.run(1.5)
-    assert not played.leader.lease.holds(played.now)
-    assert played.registry.sent("withdraw") == [["withdraw", token]]
+def started_leader() -> LeaderHarness:
+    harness = LeaderHarness()
+    harness.run(0.2)
+    harness.assign_term(5)
+    assert harness.registry.led_terms() == [5]
+    return harness
+
+
+def test_holder_overtaken_by_a_term_without_a_leader_requests_another_term() -> None:
+    """The requester of that term lost the lease before it was numbered: nothing would be granted until its expiry."""
+    harness = started_leader()
+    harness.overtake(6)
+    assert harness.leader.allocator is None
+    harness.run(0.6)
+    assert len(harness.registry.term_requests()) == 2
+    harness.assign_term(7)
+    assert harness.registry.led_terms() == [5, 7]
+
+
+def test_holder_whose_term_was_overtaken_before_the_answer_arrived_requests_another_term() -> None:
+    harness = LeaderHarness()
+    harness.run(0.2)
+    harness.overtake(6)
+    harness.assign_term(5)
+    assert harness.registry.led_terms() == []
+    harness.run(0.6)
+    assert len(harness.registry.term_requests()) == 2
+    harness.assign_term(7)
+    assert harness.registry.led_terms() == [7]
+
+
+def test_holder_drops_the_lease_when_another_machine_leads_a_later_term() -> None:
+    """Voters change, so that two machines may hold the lease by majorities that don't intersect."""
+    harness = started_leader()
+    harness.overtake(6)
+    harness.leader.on_leads("roll@b", harness.now, [6, "b"])
+    assert not harness.leader.lease.holds(harness.now)
+    harness.others_grant = False
+    harness.run(0.4)
+    assert len(harness.registry.term_requests()) == 1
+
+
+def test_late_announcement_of_an_earlier_leader_does_not_displace_the_holder() -> None:
+    harness = started_leader()
+    harness.leader.on_leads("roll@b", harness.now, [4, "b"])
+    assert harness.leader.lease.holds(harness.now) and harness.leader.allocator is not None
+
+
+def test_request_for_a_term_is_withdrawn_when_its_lease_is_lost() -> None:
+    """Numbered later, its term would overtake that of the holder at that time."""
+    harness = LeaderHarness()
+    harness.run(0.2)
+    (token,) = harness.registry.term_requests()
+    harness.others_grant = False
+    harness.run(1.5)
+    assert not harness.leader.lease.holds(harness.now)
+    assert harness.registry.sent("withdraw") == [["withdraw", token]]
--- a/tests/system/test_allocator_takeover.py
+++ b/tests/system/test_allocator_takeover.py
@@ -1,4 +1,4 @@
-"""An allocator that takes over: what fronts used by grants of the one before still counts in the rules' windows."""
+"""Takeover by a new allocator: what proxies sent by grants of its predecessor still counts in the rules' windows."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,59 +9,64 @@
 
 TERM = [2, "b"]
 HOLDER, OTHER = "f1", "f2"
-MOST = 11  # tries a second that the cold backend bears
-COLD = {"s1": (MOST, "ra")}
-BEGUN = 100.0
+MAX_RATE = 11  # attempts per second that the cold backend can bear
+COLD = {"s1": (MAX_RATE, "ra")}
+TERM_BEGAN_AT = 100.0
 
 
-def ask(
-    allocator: Allocator, ip: str, now: float, holds: list | None = None, seen: list | None = None
+def request(
+    allocator: Allocator, ip: str, now: float, holds: list | None = None, in_use: list | None = None
 ) -> Grant | None:
-    """One front's ask of an allocator that has told it of its term."""
-    said = holds or [{}, {}, 0, TERM, 0.0]
-    return allocator.request_grant(ip, 1, "ra", seen or [[0, ""], 0], {}, said, {}, COLD, now)
+    """Send a proxy's request to an allocator that has announced its term to the proxy."""
+    report = holds or [{}, {}, 0, TERM, 0.0]
+    return allocator.request_grant(ip, 1, "ra", in_use or [[0, ""], 0], {}, report, {}, COLD, now)
 
 
 def take_over(now: float) -> Allocator:
-    """An allocator of whose fronts one may hold parts; the other is enrolled by this term."""
-    allocator = Allocator(TERM, [HOLDER], BEGUN)
+    """Return an allocator with one proxy that may hold shares from before and one that is enrolled in this term."""
+    allocator = Allocator(TERM, [HOLDER], TERM_BEGAN_AT)
     allocator.enrol([OTHER], now)
-    ask(allocator, OTHER, now)  # it is alive, so that the holder is not lent everything
+    request(allocator, OTHER, now)  # it is alive, so that the holder is not granted everything
     return allocator
 
 
-def test_a_cold_rate_whose_grant_has_just_ended_is_not_lent_to_another_within_its_second() -> None:
-    """The holder's grant of the term before ended at this moment, so that it has nothing to tell of."""
-    now = BEGUN + GRANT_TTL_S
+def test_cold_rate_of_a_just_expired_grant_is_not_granted_to_another_proxy_within_its_window() -> None:
+    """The holder's grant of the previous term expires at this moment, so that the holder has nothing to report."""
+    now = TERM_BEGAN_AT + GRANT_TTL_S
     allocator = take_over(now)
-    ask(allocator, HOLDER, now)
-    assert ask(allocator, OTHER, now).cold_rates == {}
+    request(allocator, HOLDER, now)
+    assert request(allocator, OTHER, now).cold_rates == {}
 
 
-def test_a_cold_rate_that_the_term_before_had_lowered_counts_as_it_was_for_its_second() -> None:
-    now = BEGUN + COLD_RATE_TAIL_S + 0.1
+def test_cold_rate_lowered_in_the_previous_term_counts_at_its_old_value_for_its_window() -> None:
+    now = TERM_BEGAN_AT + COLD_RATE_TAIL_S + 0.1
     allocator = take_over(now)
-    ask(allocator, HOLDER, now, [{}, {"s1": 2}, 0, TERM, GRANT_TTL_S], [[1, "a"], 7])
-    assert ask(allocator, OTHER, now).cold_rates == {}
+    request(allocator, HOLDER, now, [{}, {"s1": 2}, 0, TERM, GRANT_TTL_S], [[1, "a"], 7])
+    assert request(allocator, OTHER, now).cold_rates == {}
 
 
-@given(told=st.floats(0.0, GRANT_TTL_S), later=st.floats(0.0, GRANT_TTL_S))
-def test_cold_rates_are_lent_a_second_after_the_last_front_has_told_and_not_before(told: float, later: float) -> None:
-    told_at, now = BEGUN + COLD_RATE_TAIL_S + 0.01 + told, BEGUN + COLD_RATE_TAIL_S + 0.01 + told + later
-    allocator = take_over(told_at)
-    ask(allocator, HOLDER, told_at)
-    lent = ask(allocator, OTHER, now).cold_rates
-    if later < COLD_RATE_TAIL_S and not allocator.earlier_grants_expired(now - COLD_RATE_TAIL_S):
-        assert lent == {}
-    elif later > COLD_RATE_TAIL_S:
-        assert sum(lent.values()) > 0
+@given(reported_after_s=st.floats(0.0, GRANT_TTL_S), granted_after_s=st.floats(0.0, GRANT_TTL_S))
+def test_cold_rates_are_granted_one_window_after_the_last_report_and_not_earlier(
+    reported_after_s: float, granted_after_s: float
+) -> None:
+    reported_at, now = (
+        TERM_BEGAN_AT + COLD_RATE_TAIL_S + 0.01 + reported_after_s,
+        TERM_BEGAN_AT + COLD_RATE_TAIL_S + 0.01 + reported_after_s + granted_after_s,
+    )
+    allocator = take_over(reported_at)
+    request(allocator, HOLDER, reported_at)
+    granted = request(allocator, OTHER, now).cold_rates
+    if granted_after_s < COLD_RATE_TAIL_S and not allocator.earlier_grants_expired(now - COLD_RATE_TAIL_S):
+        assert granted == {}
+    elif granted_after_s > COLD_RATE_TAIL_S:
+        assert sum(granted.values()) > 0
 
 
-def test_the_invariant_counts_a_cold_rate_that_is_lent_within_a_second_of_the_last_tell() -> None:
-    """The fault itself, planted: an allocator that looks only at what is unknown now."""
-    now = BEGUN + GRANT_TTL_S
+def test_invariant_detects_a_cold_rate_granted_within_the_window_after_the_last_report() -> None:
+    """Plants the fault: an allocator that checks only whether outstanding grants are unknown at this moment."""
+    now = TERM_BEGAN_AT + GRANT_TTL_S
     allocator = take_over(now)
     allocator.all_grants_known_for = lambda duration_s, now: allocator.all_grants_known(now)
-    ask(allocator, HOLDER, now)
-    ask(allocator, OTHER, now)
+    request(allocator, HOLDER, now)
+    request(allocator, OTHER, now)
     assert {violation.invariant for violation in allocator.violations} == {Invariant.COLD_RATES_REST}
--- a/tests/system/test_parts.py
+++ b/tests/system/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts add up whatever is lost, late or said twice, whoever allocates, and whichever front dies."""
+"""Shares stay within limits with lost, late and duplicated messages, new allocators and proxy restarts."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -21,247 +21,253 @@
 from fennelpoint.system.registry.allocator import (
     FORGET_PROXY_S,
     GRANTABLE_SHARES,
-    READ_VALIDITY_S,
     POOL_BURST_PART,
     POOL_INITIAL_PART,
+    READ_VALIDITY_S,
     Allocator,
     ProxyState,
 )
-from fennelpoint.system.registry.grants import POOL_UNIT_TTL_S, GRANT_TTL_S, TOTAL_SHARES, Grant
+from fennelpoint.system.registry.grants import GRANT_TTL_S, POOL_UNIT_TTL_S, TOTAL_SHARES, Grant
 from fennelpoint.system.registry.live_proxies import LiveProxies
 from fennelpoint.system.registry.outstanding_grants import Resource, max_shares_in_use
 from fennelpoint.system.registry.proxy_enrollment import ProxyEnrollment
 from fennelpoint.system.store.replicated_state import dismiss, empty, enrol, lead
 
-FRONTS, RATES = ("f1", "f2", "f3"), {"t1": 20.0, "t2": 3.0}
+PROXIES, RATES = ("f1", "f2", "f3"), {"t1": 20.0, "t2": 3.0}
 BURST, SLACK, WINDOW = 4.0, 20.0, 5.0
 COLD = {"s1": (11, "ra")}
 
 
 @dataclass(eq=False)
-class Reckoner:
-    """One term's: what it lends, what it knows to be agreed, and its proposals under way, in order."""
+class AllocatorTerm:
+    """One term's allocator, the agreed state that it knows, and its unanswered proposals in order."""
 
     allocator: Allocator
-    knows: dict
+    agreed: dict
     enrollment: ProxyEnrollment = field(default_factory=ProxyEnrollment)
-    under_way: list[tuple[int, str, list]] = field(default_factory=list)
-    until: float = 1e9      # it may lend no longer
+    proposals: list[tuple[int, str, list]] = field(default_factory=list)
+    until: float = 1e9      # it may not grant after that
     tokens: int = 0
 
-    def tend(self, now: float) -> None:
-        if now <= self.until and (due := self.enrollment.next_change(self.allocator, self.knows["fronts"], self.tokens + 1, now)):
+    def propose(self, now: float) -> None:
+        if now <= self.until and (
+                change := self.enrollment.next_change(self.allocator, self.agreed["fronts"], self.tokens + 1, now)):
             self.tokens += 1
-            self.under_way.append((self.tokens, *due))
+            self.proposals.append((self.tokens, *change))
 
 
 class AllocationMachine(RuleBasedStateMachine):
-    """Fronts, one reckoner after the other, and messages that come late, twice or never."""
+    """Proxies, successive allocators, and messages that are delayed, duplicated or lost."""
 
     CHANGES = {"enrol": enrol, "dismiss": dismiss}
 
     @initialize()
     def begin(self) -> None:
-        self.now, self.lives = 0.0, {}
-        self.fronts: dict[str, CoreSession] = {}
-        self.asks: list[tuple] = []                     # on their way, whatever becomes of their front
-        self.sent: list[tuple[str, list]] = []          # grants on their way
-        self.agreed = enrol(list(FRONTS))(empty({"a": "za"}))
-        self.reckoners: list[Reckoner] = []                 # the newest last; those before lend for a while
-        self.used: list[tuple[float, int]] = []             # units of t2 from the pool
-        self.began: list[float] = []                        # when reckoners after the first did
-        self.cold: list[tuple[float, tuple[str, int], int]] = []    # until when which life had how much of s1
-        self.born: dict[tuple[str, int], float] = {}
-        self.another()
-        for ip in FRONTS:
+        self.now, self.incarnations = 0.0, {}
+        self.proxies: dict[str, CoreSession] = {}
+        self.delayed_requests: list[tuple] = []  # in transit, also after a restart of their proxy
+        self.grants_in_transit: list[tuple[str, list]] = []  # by proxy
+        self.agreed = enrol(list(PROXIES))(empty({"a": "za"}))
+        self.allocators: list[AllocatorTerm] = []  # the newest last; earlier ones still grant for a while
+        self.pool_units_used: list[tuple[float, int]] = []  # units of t2 from the pool
+        self.takeovers_at: list[float] = []  # starts of the allocators after the first
+        self.cold_use: list[tuple[float, tuple[str, int], int]] = []  # end of use, incarnation, rate of s1
+        self.started_at: dict[tuple[str, int], float] = {}
+        self.replace_allocator()
+        for ip in PROXIES:
             self._start(ip)
 
     def _start(self, ip: str) -> None:
-        self.lives[ip] = self.lives.get(ip, 0) + 1
-        life = 100 * FRONTS.index(ip) + self.lives[ip]
-        self.born[ip, self.lives[ip]] = self.now
-        self.fronts[ip] = CoreSession(ip, "za", "ra", {"za": "ra"}, ["a"], {"life": life}, self.now)
-
-    def _which(self, back: int) -> Reckoner | None:
-        """The newest reckoner or one before it, if it may still lend."""
-        one = self.reckoners[-1 - back % len(self.reckoners)]
-        return one if self.now <= one.until else None
-
-    @rule(ip=st.sampled_from(FRONTS), asked=st.dictionaries(st.sampled_from(["t1", "t2"]), st.integers(1, 30)),
-          late=st.booleans(), back=st.sampled_from([0, 0, 1]))
-    def ask(self, ip: str, asked: dict, late: bool, back: int) -> None:
-        front = self.fronts[ip]
-        front._ask(["roll@a"], self.now)
-        _, number, _, _, (seen, _, holds), _ = front._done()[-1].message
-        ask = (ip, self.lives[ip], number, seen, asked, holds)
-        self.asks.append(ask) if late else self._hear(ask, back)
-
-    @precondition(lambda self: self.asks)
+        self.incarnations[ip] = self.incarnations.get(ip, 0) + 1
+        incarnation = 100 * PROXIES.index(ip) + self.incarnations[ip]
+        self.started_at[ip, self.incarnations[ip]] = self.now
+        self.proxies[ip] = CoreSession(ip, "za", "ra", {"za": "ra"}, ["a"], {"life": incarnation}, self.now)
+
+    def _active_allocator(self, back: int) -> AllocatorTerm | None:
+        """Return the newest term or an earlier one, if its allocator may still grant."""
+        term = self.allocators[-1 - back % len(self.allocators)]
+        return term if self.now <= term.until else None
+
+    @rule(ip=st.sampled_from(PROXIES), demand=st.dictionaries(st.sampled_from(["t1", "t2"]), st.integers(1, 30)),
+          delayed=st.booleans(), back=st.sampled_from([0, 0, 1]))
+    def request(self, ip: str, demand: dict, delayed: bool, back: int) -> None:
+        proxy = self.proxies[ip]
+        proxy._ask(["roll@a"], self.now)
+        _, number, _, _, (in_use, _, holds), _ = proxy._done()[-1].message
+        request = (ip, self.incarnations[ip], number, in_use, demand, holds)
+        self.delayed_requests.append(request) if delayed else self._handle_request(request, back)
+
+    @precondition(lambda self: self.delayed_requests)
     @rule(which=st.integers(0, 50), back=st.sampled_from([0, 0, 1]))
-    def hear(self, which: int, back: int) -> None:
-        """A late ask, of a front that may have died, comes to whoever reckons by now, or did."""
-        self._hear(self.asks.pop(which % len(self.asks)), back)
+    def deliver_request(self, which: int, back: int) -> None:
+        """Deliver a late request, from a proxy that may have restarted, to the current or an earlier allocator."""
+        self._handle_request(self.delayed_requests.pop(which % len(self.delayed_requests)), back)
 
-    def _hear(self, ask: tuple, back: int) -> None:
-        ip, life, number, seen, asked, holds = ask
-        if (one := self._which(back)) is None or not one.enrollment.admits(ip, one.knows["fronts"]):
+    def _handle_request(self, request: tuple, back: int) -> None:
+        ip, incarnation, number, in_use, demand, holds = request
+        if (term := self._active_allocator(back)) is None or not term.enrollment.admits(ip, term.agreed["fronts"]):
             return
-        front, allocator = self.fronts[ip], one.allocator
+        proxy, allocator = self.proxies[ip], term.allocator
         allocator.enrol([ip], self.now)
-        grant = allocator.request_grant(ip, life, "ra", seen, asked, holds, RATES, COLD, self.now)
+        grant = allocator.request_grant(ip, incarnation, "ra", in_use, demand, holds, RATES, COLD, self.now)
         if grant is None:
-            front._on_tell("roll@a", self.now, allocator.term)
+            proxy._on_tell("roll@a", self.now, allocator.term)
         else:
-            same = [allocator.term, grant.number] == seen
-            self.sent.append((ip, [number, allocator.term, grant.number, None if same else grant.pack()]))
+            same = [allocator.term, grant.number] == in_use
+            self.grants_in_transit.append(
+                (ip, [number, allocator.term, grant.number, None if same else grant.pack()]))
 
-    @rule(ips=st.sets(st.sampled_from(FRONTS), min_size=1))
+    @rule(ips=st.sets(st.sampled_from(PROXIES), min_size=1))
     def exchange(self, ips: set) -> None:
-        """All goes well for a moment: these are enrolled, tell what they hold, and get their parts."""
-        one = self.reckoners[-1]
+        """Without faults: these proxies are enrolled, report what they hold, and get their shares."""
+        term = self.allocators[-1]
         for ip in sorted(ips):
             for _ in range(3):
-                before = len(self.sent)
-                self.ask(ip, {}, False, 0)
-                if len(self.sent) > before:
-                    self.arrive(before, False)
-                    self.adds_up()
-                one.tend(self.now)
-                while one.under_way:
+                before = len(self.grants_in_transit)
+                self.request(ip, {}, False, 0)
+                if len(self.grants_in_transit) > before:
+                    self.deliver_grant(before, False)
+                    self.shares_stay_within_limits()
+                term.propose(self.now)
+                while term.proposals:
                     self.agree(0, "taken")
 
     @rule(back=st.integers(0, 2), outcome=st.sampled_from(["taken", "taken", "unanswered", "lost"]))
     def agree(self, back: int, outcome: str) -> None:
-        """A reckoner's first proposal: taken, given up by the store but taken, or never."""
-        one = self.reckoners[-1 - back % len(self.reckoners)]
-        if not one.under_way:
+        """Answer an allocator's first proposal: agreed, agreed after the store gave up on it, or lost."""
+        term = self.allocators[-1 - back % len(self.allocators)]
+        if not term.proposals:
             return
-        token, kind, args = one.under_way.pop(0)
+        token, kind, args = term.proposals.pop(0)
         if outcome != "lost":
             self.agreed = self.CHANGES[kind](*args)(self.agreed)
         if outcome == "taken":
-            one.knows = self.agreed
-            if self.agreed["term"] > one.allocator.term[0]:
-                one.until = min(one.until, self.now - 0.001)
-        one.enrollment.proposal_answered(token, 200 if outcome == "taken" else 503)
+            term.agreed = self.agreed
+            if self.agreed["term"] > term.allocator.term[0]:
+                term.until = min(term.until, self.now - 0.001)
+        term.enrollment.proposal_answered(token, 200 if outcome == "taken" else 503)
 
-    @rule(ip=st.sampled_from(FRONTS), units=st.integers(1, 30), late=st.sampled_from([0.0, 0.3, 0.6]),
+    @rule(ip=st.sampled_from(PROXIES), units=st.integers(1, 30), delay_s=st.sampled_from([0.0, 0.3, 0.6]),
           back=st.integers(0, 1))
-    def draw(self, ip: str, units: int, late: float, back: int) -> None:
-        """A front asks the pool, at whoever reckons or did so before, and uses what comes in time."""
-        if (one := self._which(back)) is None:
+    def take_from_pool(self, ip: str, units: int, delay_s: float, back: int) -> None:
+        """A proxy requests pool units from the current or an earlier allocator, and uses what arrives in time."""
+        if (term := self._active_allocator(back)) is None:
             return
-        allocator = one.allocator
-        drawn = allocator.take_from_pools(ip, {"t2": units}, RATES, {"t2": BURST}, SLACK, self.now)
-        if drawn is None:
+        allocator = term.allocator
+        taken = allocator.take_from_pools(ip, {"t2": units}, RATES, {"t2": BURST}, SLACK, self.now)
+        if taken is None:
             return
-        given, denied, soon = drawn
-        assert given.get("t2", 0) + denied.get("t2", 0) in (0, units)
+        granted, denied, short = taken
+        assert granted.get("t2", 0) + denied.get("t2", 0) in (0, units)
         if "t2" in allocator.pools:
-            thing = Resource("quotas", "t2")
-            lent = sum(max_shares_in_use(f.grants, self.now).get(thing, 0) for f in allocator.proxies.values())
-            assert allocator.pools["t2"].quota_part <= max(0, TOTAL_SHARES - lent) / TOTAL_SHARES
-        front = self.fronts[ip]
-        front.out.clear()
-        front._on_units("roll@a", self.now + late, front._number(self.now), allocator.term, given, denied, soon)
-        for told in front.out:
-            if isinstance(told, Units) and self.now + late <= told.until:
-                self.used.append((self.now + late, told.given.get("t2", 0)))
-
-    @precondition(lambda self: self.sent)
+            resource = Resource("quotas", "t2")
+            in_use = sum(max_shares_in_use(proxy.grants, self.now).get(resource, 0)
+                         for proxy in allocator.proxies.values())
+            assert allocator.pools["t2"].quota_part <= max(0, TOTAL_SHARES - in_use) / TOTAL_SHARES
+        proxy = self.proxies[ip]
+        proxy.out.clear()
+        proxy._on_units("roll@a", self.now + delay_s, proxy._number(self.now), allocator.term, granted, denied, short)
+        for action in proxy.out:
+            if isinstance(action, Units) and self.now + delay_s <= action.until:
+                self.pool_units_used.append((self.now + delay_s, action.given.get("t2", 0)))
+
+    @precondition(lambda self: self.grants_in_transit)
     @rule(which=st.integers(0, 50), twice=st.booleans())
-    def arrive(self, which: int, twice: bool) -> None:
-        ip, grant = self.sent[which % len(self.sent)]
+    def deliver_grant(self, which: int, twice: bool) -> None:
+        ip, grant = self.grants_in_transit[which % len(self.grants_in_transit)]
         if not twice:
-            self.sent.remove((ip, grant))
-        self.fronts[ip]._on_lend("roll@a", self.now, *grant)
+            self.grants_in_transit.remove((ip, grant))
+        self.proxies[ip]._on_lend("roll@a", self.now, *grant)
 
-    @precondition(lambda self: self.sent)
+    @precondition(lambda self: self.grants_in_transit)
     @rule()
-    def lose(self) -> None:
-        self.sent.pop()
-
-    @rule(span=st.sampled_from([0.1, 0.5, 2.0, GRANT_TTL_S, FORGET_PROXY_S + 0.1]))
-    def wait(self, span: float) -> None:
-        before = [(ip, f.parts.until, f.parts.cold.get("s1", 0)) for ip, f in self.fronts.items()]
-        self.now += span
-        self.cold += [(min(until, self.now), (ip, self.lives[ip]), most) for ip, until, most in before]
-        for front in self.fronts.values():
-            front.tick(self.now)
-        for one in self.reckoners:
-            one.tend(self.now)
+    def lose_grant(self) -> None:
+        self.grants_in_transit.pop()
+
+    @rule(duration_s=st.sampled_from([0.1, 0.5, 2.0, GRANT_TTL_S, FORGET_PROXY_S + 0.1]))
+    def wait(self, duration_s: float) -> None:
+        before = [(ip, proxy.parts.until, proxy.parts.cold.get("s1", 0)) for ip, proxy in self.proxies.items()]
+        self.now += duration_s
+        self.cold_use += [(min(until, self.now), (ip, self.incarnations[ip]), rate) for ip, until, rate in before]
+        for proxy in self.proxies.values():
+            proxy.tick(self.now)
+        for term in self.allocators:
+            term.propose(self.now)
 
     @rule()
-    def learn(self) -> None:
-        self.reckoners[-1].knows = self.agreed
+    def read_agreed_state(self) -> None:
+        self.allocators[-1].agreed = self.agreed
 
-    @rule(ip=st.sampled_from(FRONTS))
-    def die(self, ip: str) -> None:
+    @rule(ip=st.sampled_from(PROXIES))
+    def restart_proxy(self, ip: str) -> None:
         self._start(ip)
 
     @rule()
-    def another(self) -> None:
-        """The reckoner is gone, and another one begins; nothing of what it knew is left but its proposals."""
-        if self.reckoners:
-            self.reckoners[-1].until = min(self.reckoners[-1].until, self.now + READ_VALIDITY_S)
-            self.began.append(self.now)
+    def replace_allocator(self) -> None:
+        """Start a new allocator; nothing of the previous one is left but its proposals."""
+        if self.allocators:
+            self.allocators[-1].until = min(self.allocators[-1].until, self.now + READ_VALIDITY_S)
+            self.takeovers_at.append(self.now)
         self.agreed = lead()(self.agreed)
         allocator = Allocator([self.agreed["term"], "b"], self.agreed["fronts"], self.now)
-        self.reckoners = [*self.reckoners[-2:], Reckoner(allocator, self.agreed)]
+        self.allocators = [*self.allocators[-2:], AllocatorTerm(allocator, self.agreed)]
 
     @rule()
     def take_over(self) -> None:
-        """Another one begins, and all goes well for a moment."""
-        self.another()
+        """Start a new allocator, followed by exchanges without faults."""
+        self.replace_allocator()
         for _ in range(2):
-            self.exchange(set(FRONTS))
+            self.exchange(set(PROXIES))
 
     @invariant()
-    def adds_up(self) -> None:
-        parts = [f.parts for f in self.fronts.values() if self.now < f.parts.until]
+    def shares_stay_within_limits(self) -> None:
+        current = [proxy.parts for proxy in self.proxies.values() if self.now < proxy.parts.until]
         for tenant in RATES:
-            assert sum(p.quotas.get(tenant, 0) for p in parts) <= TOTAL_SHARES
-        assert sum(p.cold.get("s1", 0) for p in parts) <= 11
-        assert sum(p.slack for p in parts) <= TOTAL_SHARES
+            assert sum(shares.quotas.get(tenant, 0) for shares in current) <= TOTAL_SHARES
+        assert sum(shares.cold.get("s1", 0) for shares in current) <= 11
+        assert sum(shares.slack for shares in current) <= TOTAL_SHARES
 
     @invariant()
-    def sums_are_those_of_the_grants(self) -> None:
-        """What is kept as a sum is what going through all fronts finds, for every thing and each reckoner."""
-        for one in self.reckoners:
+    def sums_match_the_grants(self) -> None:
+        """The maintained sums equal a count over all proxies, for every resource and each allocator."""
+        for term in self.allocators:
             counted: Counter[Resource] = Counter()
-            for front in one.allocator.proxies.values():
-                counted.update(max_shares_in_use(front.grants, self.now))
-            for thing in (Resource("quotas", "t1"), Resource("quotas", "t2"), Resource("cold", "s1"), Resource("slack")):
-                assert one.allocator.outstanding.total(thing, self.now) == counted[thing]
-            assert one.allocator.unknown == {f.ip for f in one.allocator.proxies.values() if not f.is_known}
+            for proxy in term.allocator.proxies.values():
+                counted.update(max_shares_in_use(proxy.grants, self.now))
+            for resource in (
+                    Resource("quotas", "t1"), Resource("quotas", "t2"), Resource("cold", "s1"), Resource("slack")):
+                assert term.allocator.outstanding.total(resource, self.now) == counted[resource]
+            assert term.allocator.unknown == {
+                proxy.ip for proxy in term.allocator.proxies.values() if not proxy.is_known}
 
     @invariant()
-    def cold_seconds_hold(self) -> None:
-        """Each life of a front may have sent all of its part in one second, whoever has it by now."""
-        self.cold += [(self.now, (ip, self.lives[ip]), f.parts.cold.get("s1", 0))
-                      for ip, f in self.fronts.items() if self.now < f.parts.until]
-        self.cold = [(at, who, most) for at, who, most in self.cold if at > self.now - SECOND]
+    def cold_rates_hold_in_each_second(self) -> None:
+        """Each incarnation of a proxy may have used all of its rate in one second, whichever proxy holds it now."""
+        self.cold_use += [(self.now, (ip, self.incarnations[ip]), proxy.parts.cold.get("s1", 0))
+                      for ip, proxy in self.proxies.items() if self.now < proxy.parts.until]
+        self.cold_use = [(at, holder, rate) for at, holder, rate in self.cold_use if at > self.now - SECOND]
         sent: dict[tuple[str, int], int] = {}
-        for at, who, most in self.cold:
-            if at >= self.born[who] + SECOND:
-                sent[who] = max(sent.get(who, 0), most)
+        for at, holder, rate in self.cold_use:
+            if at >= self.started_at[holder] + SECOND:
+                sent[holder] = max(sent.get(holder, 0), rate)
         assert sum(sent.values()) <= 11, sent
 
     @invariant()
-    def windows_hold(self) -> None:
-        def most(changes: int) -> float:
-            return BURST + (POOL_BURST_PART + changes * POOL_INITIAL_PART) * SLACK + RATES["t2"] * (WINDOW + POOL_UNIT_TTL_S)
+    def pool_use_holds_in_each_window(self) -> None:
+        def max_use(changes: int) -> float:
+            return BURST + (POOL_BURST_PART + changes * POOL_INITIAL_PART) * SLACK + RATES["t2"] * (
+                WINDOW + POOL_UNIT_TTL_S)
 
-        # Three reckoners in one window keep to the rules: more of them take longer than this in service.
-        assert most(2) <= (RATES["t2"] * WINDOW + BURST) * 1.1 + SLACK
-        for begin, _ in self.used[-40:]:
-            changes = sum(begin - POOL_UNIT_TTL_S <= at < begin + WINDOW for at in self.began)
-            used = sum(units for at, units in self.used if begin <= at < begin + WINDOW)
-            assert used <= most(max(2, changes))
+        # Three allocators in one window keep to the rules; in production, more changes take longer than a window.
+        assert max_use(2) <= (RATES["t2"] * WINDOW + BURST) * 1.1 + SLACK
+        for begin, _ in self.pool_units_used[-40:]:
+            changes = sum(begin - POOL_UNIT_TTL_S <= at < begin + WINDOW for at in self.takeovers_at)
+            used = sum(units for at, units in self.pool_units_used if begin <= at < begin + WINDOW)
+            assert used <= max_use(max(2, changes))
 
 
 class UnfencedDismissals(AllocationMachine):
-    """A dismissal that does not look whether its term is over."""
+    """Plants a fault: dismissals without a check that their term is still current."""
 
     CHANGES = {"enrol": enrol, "dismiss": lambda fronts, term: lambda world: dismiss(fronts, world["term"])(world)}
 
@@ -270,27 +276,27 @@
 TestAllocationMachine = AllocationMachine.TestCase
 
 
-def test_what_a_front_held_and_has_lost_is_not_lent_to_it_again_while_one_before_may_lend_it_to_another() -> None:
+def test_expired_shares_are_not_granted_again_while_an_earlier_allocator_may_grant_them_to_another_proxy() -> None:
     run = AllocationMachine()
     run.begin()
     run.exchange({"f1", "f2", "f3"})
-    run.ask("f2", {"t1": 27}, False, 0)
+    run.request("f2", {"t1": 27}, False, 0)
     run.wait(GRANT_TTL_S)
-    run.arrive(0, False)        # late: its time is over
+    run.deliver_grant(0, False)  # late: it has expired
     run.wait(GRANT_TTL_S)
-    run.another()
-    run.ask("f3", {}, False, 1)        # the one before still lends: all there is
-    run.arrive(0, False)
+    run.replace_allocator()
+    run.request("f3", {}, False, 1)        # the earlier allocator still grants: everything
+    run.deliver_grant(0, False)
     run.exchange({"f1", "f2"})
-    run.adds_up()
+    run.shares_stay_within_limits()
 
 
 @pytest.mark.parametrize("kind", [AllocationMachine, UnfencedDismissals])
-def test_a_dismissal_by_a_term_that_is_over_changes_nothing_and_without_the_fence_is_found(kind: type) -> None:
-    """The shortest drawn run that finds the planted fault, played again."""
+def test_dismissal_by_an_ended_term_has_no_effect_and_a_missing_fence_is_detected(kind: type) -> None:
+    """Replays the shortest generated history that finds the planted fault."""
     run = kind()
     run.begin()
-    run.wait(FORGET_PROXY_S + 0.1)      # all are silent: their dismissal is proposed, and on its way
+    run.wait(FORGET_PROXY_S + 0.1)      # all are silent: their dismissal is proposed and in transit
     run.take_over()
     run.agree(1, "taken")
     if kind is UnfencedDismissals:
@@ -298,86 +304,88 @@
             run.take_over()
     else:
         run.take_over()
-        assert run.agreed["fronts"].keys() == set(FRONTS)
+        assert run.agreed["fronts"].keys() == set(PROXIES)
 
 
-def test_a_grant_of_the_term_before_that_is_on_its_way_does_not_count_beside_the_new_ones() -> None:
+def test_grant_of_the_previous_term_in_transit_does_not_count_beside_new_grants() -> None:
     run = AllocationMachine()
     run.begin()
     run.exchange({"f1", "f2", "f3"})
-    run.wait(GRANT_TTL_S)                      # what they hold has ended
-    run.ask("f1", {"t1": 30}, False, 0)        # its grant comes late
-    assert len(run.sent) == 1 and run.sent[0][1][3][0]["t1"] > 300
-    run.another()
+    run.wait(GRANT_TTL_S)                      # their grants have expired
+    run.request("f1", {"t1": 30}, False, 0)        # its grant is delayed
+    assert len(run.grants_in_transit) == 1 and run.grants_in_transit[0][1][3][0]["t1"] > 300
+    run.replace_allocator()
     for ip in ("f1", "f2", "f3"):
-        run.ask(ip, {}, False, 0)
-    run.arrive(0, False)
+        run.request(ip, {}, False, 0)
+    run.deliver_grant(0, False)
     run.exchange({"f2", "f3"})
     run.exchange({"f2", "f3"})
-    run.adds_up()
+    run.shares_stay_within_limits()
 
 
-def test_a_front_that_told_a_newer_term_takes_no_word_of_those_before() -> None:
-    front = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {}, 0.0)
-    front._on_lend("roll@a", 0.0, front._number(0.0), [1, "a"], 1, [{"t": 100}, {}, 0])
-    front._on_tell("roll@b", 0.1, [2, "b"])
-    front._on_lend("roll@a", 0.2, front._number(0.1), [1, "a"], 2, [{"t": 900}, {}, 0])
-    assert front.parts.quotas == {"t": 100} and front.holds
+def test_proxy_that_reported_to_a_newer_term_ignores_grants_of_earlier_terms() -> None:
+    proxy = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {}, 0.0)
+    proxy._on_lend("roll@a", 0.0, proxy._number(0.0), [1, "a"], 1, [{"t": 100}, {}, 0])
+    proxy._on_tell("roll@b", 0.1, [2, "b"])
+    proxy._on_lend("roll@a", 0.2, proxy._number(0.1), [1, "a"], 2, [{"t": 900}, {}, 0])
+    assert proxy.parts.quotas == {"t": 100} and proxy.holds
 
 
-def test_a_grant_that_has_ended_is_not_lent_again_as_it_was() -> None:
-    """It is kept for what was sent by its cold rates; some of its quota is another's by now."""
+def test_expired_grant_is_not_renewed_unchanged() -> None:
+    """It is retained for what was sent by its cold rates; part of its quota has since been granted elsewhere."""
     allocator, now = Allocator([1, "a"], [], 0.0), 20.0
     allocator.enrol(["f", "g"], 0.0)
-    for number, (ip, part, slack, ends) in enumerate((("f", 100, 985, now - 0.5), ("g", 905, 0, now + 4.0)), 1):
-        front = allocator.proxies[ip]
-        front.reported_incarnations, front.incarnation, front.grants = {1}, 1, [Grant(number, {"t1": part}, {}, slack, ends)]
-        allocator.outstanding.recompute(front, now)
+    for number, (ip, share, slack, expires_at) in enumerate(
+            (("f", 100, 985, now - 0.5), ("g", 905, 0, now + 4.0)), 1):
+        proxy = allocator.proxies[ip]
+        proxy.reported_incarnations, proxy.incarnation, proxy.grants = (
+            {1}, 1, [Grant(number, {"t1": share}, {}, slack, expires_at)])
+        allocator.outstanding.recompute(proxy, now)
     allocator.last_grant_number = 2
     grant = allocator.request_grant("f", 1, "ra", [[1, "a"], 0], {"t1": 50}, None, {"t1": 20.0}, {}, now)
     assert 0 < grant.quotas["t1"] <= TOTAL_SHARES - 905
 
 
-def asked_by_all(fronts: int, seconds: float, monkeypatch: pytest.MonkeyPatch) -> tuple[Allocator, list[int]]:
-    """As many fronts ask twice a second each while backends are cold; the sizes of all snapshots that were taken."""
+def request_from_all(proxies: int, seconds: float, monkeypatch: pytest.MonkeyPatch) -> tuple[Allocator, list[int]]:
+    """Let proxies send two requests per second each while backends are cold; return all snapshot sizes too."""
     sizes: list[int] = []
 
-    class Counted(allocator_module.LiveProxies):
+    class CountingLiveProxies(allocator_module.LiveProxies):
         def __init__(self, alive: list, rates: dict, now: float) -> None:
             super().__init__(alive, rates, now)
             sizes.append(len(self.alive))
 
-    monkeypatch.setattr(allocator_module, "LiveProxies", Counted)
-    allocator, names, now = Allocator([1, "a"], [], 0.0), [f"f{i:03d}" for i in range(fronts)], 20.0
+    monkeypatch.setattr(allocator_module, "LiveProxies", CountingLiveProxies)
+    allocator, names, now = Allocator([1, "a"], [], 0.0), [f"f{i:03d}" for i in range(proxies)], 20.0
     allocator.enrol(names, 0.0)
     rates, cold = {"t1": 9000.0, "t2": 3.0}, {f"s{i}": (500, "ra") for i in range(20)}
-    seen = dict.fromkeys(names, 0)
+    in_use = dict.fromkeys(names, 0)
     sizes.clear()
-    for ask in range(int(2 * fronts * seconds)):
-        name = names[ask % fronts]
-        grant = allocator.request_grant(name, 1, "ra", [[1, "a"], seen[name]], {"t1": 5}, None, rates, cold, now)
-        seen[name] = grant.number
-        now += 0.5 / fronts
+    for request in range(int(2 * proxies * seconds)):
+        name = names[request % proxies]
+        grant = allocator.request_grant(name, 1, "ra", [[1, "a"], in_use[name]], {"t1": 5}, None, rates, cold, now)
+        in_use[name] = grant.number
+        now += 0.5 / proxies
     return allocator, sizes
 
 
-def test_going_through_all_fronts_costs_no_more_in_a_second_the_more_of_them_ask(monkeypatch) -> None:
-    """Each ask went through all of them, for each tenant and cold backend: n² in a second."""
-    looked = {fronts: sum(asked_by_all(fronts, 2.0, monkeypatch)[1]) for fronts in (50, 100, 200)}
-    assert looked[200] <= 2.5 * looked[50]
+def test_cost_per_second_of_iterating_over_all_proxies_does_not_grow_with_their_number(monkeypatch) -> None:
+    """Each request iterated over all of them, for each tenant and cold backend: O(n²) per second."""
+    visited = {proxies: sum(request_from_all(proxies, 2.0, monkeypatch)[1]) for proxies in (50, 100, 200)}
+    assert visited[200] <= 2.5 * visited[50]
 
 
-def test_parts_by_a_census_that_is_a_little_old_add_up_and_leave_nobody_out(monkeypatch) -> None:
-    allocator, _ = asked_by_all(200, 4.0, monkeypatch)
+def test_shares_from_a_slightly_stale_snapshot_stay_within_limits_and_include_every_proxy(monkeypatch) -> None:
+    allocator, _ = request_from_all(200, 4.0, monkeypatch)
     now = 24.0
-    newest = [f.grants[-1] for f in allocator.proxies.values()]
+    newest = [proxy.grants[-1] for proxy in allocator.proxies.values()]
     assert all(g.quotas["t1"] >= 2 and g.slack >= 3 and sum(g.cold_rates.values()) >= 40 for g in newest)
     assert GRANTABLE_SHARES * 0.8 <= sum(g.quotas["t1"] for g in newest) <= GRANTABLE_SHARES
     assert allocator.outstanding.total(Resource("quotas", "t1"), now) <= GRANTABLE_SHARES
     assert all(allocator.outstanding.total(Resource("cold", f"s{i}"), now) <= 500 for i in range(20))
 
 
-def test_a_front_that_joins_a_census_is_ranked_in_its_region_and_where_a_region_is_empty() -> None:
+def test_proxy_added_to_a_snapshot_is_ranked_in_its_region_and_in_empty_regions() -> None:
     snapshot = LiveProxies([ProxyState("f1", region="ra")], {}, 0.0)
     assert snapshot.ranks("ra") == {"f1": 0} and snapshot.ranks("rb") == {"f1": 0}
     snapshot.add(ProxyState("f2", region="ra"))
