--- a/tests/system/test_lease_bounds.py
+++ b/tests/system/test_lease_bounds.py
@@ -1,4 +1,4 @@
-"""A lease on the newest configuration keeps the bounds of whatever settings a deployment has."""
+"""A lease on the newest configuration keeps the bounds of any deployment's settings."""
 
 from dataclasses import asdict
 from pathlib import Path
@@ -13,7 +13,7 @@
 from fennelpoint.testing.core_simulation import World
 
 SITE = (Path(__file__).parent / "scenarios" / "site").read_text()
-TEXT = """node_name=f
+SETTINGS_TEXT = """node_name=f
 node_role=r
 ip_address=127.0.0.1
 availability_zone=za
@@ -33,12 +33,10 @@
 )
 
 
-# Guards against answers by an older configuration at deployments with other bounds than the usual.
+# Guards against answers by an older configuration in deployments with bounds other than the defaults.
 @settings(max_examples=12)
 @given(bounds=DEPLOYMENTS, cut_after=st.floats(0.0, 0.5))
-def test_no_front_goes_by_an_older_version_beyond_the_bounds_of_its_deployment(
-    bounds: Bounds, cut_after: float
-) -> None:
+def test_no_proxy_uses_an_older_version_beyond_the_bounds_of_its_deployment(bounds: Bounds, cut_after: float) -> None:
     world = World(1, bounds)
     for line in SITE.splitlines():
         world.do(line.split())
@@ -54,19 +52,19 @@
 
 
 @pytest.mark.parametrize("name", KEPT_BY_LEASE)
-def test_a_lease_is_shorter_than_each_bound_by_what_clocks_may_differ(name: str) -> None:
+def test_lease_is_shorter_than_each_bound_by_the_clock_rate_error(name: str) -> None:
     bounds = Bounds(**asdict(Bounds()) | {name: 2.0})
     assert bounds.lease_s == pytest.approx(2.0 * (1.0 - CLOCK_RATES))
 
 
 @pytest.mark.parametrize("name", KEPT_BY_LEASE)
-def test_bounds_that_no_lease_can_keep_are_refused_with_file_field_and_reason(tmp_path: Path, name: str) -> None:
+def test_bounds_that_no_lease_can_keep_are_rejected_with_file_field_and_reason(tmp_path: Path, name: str) -> None:
     path = tmp_path / "settings"
-    path.write_text(f"{TEXT}rule_bounds.{name}={LEAST_LEASE}\n")
-    for refused in (read(str(path)), check_settings(str(path))):
-        assert isinstance(refused, Err)
-        line = str(refused.err_value)
+    path.write_text(f"{SETTINGS_TEXT}rule_bounds.{name}={LEAST_LEASE}\n")
+    for result in (read(str(path)), check_settings(str(path))):
+        assert isinstance(result, Err)
+        line = str(result.err_value)
         assert str(path) in line and name in line and "0.8 s can't be kept, 0.82 s is the least" in line
         assert "\n" not in line
-    path.write_text(f"{TEXT}rule_bounds.{name}=0.9\n")
+    path.write_text(f"{SETTINGS_TEXT}rule_bounds.{name}=0.9\n")
     assert isinstance(read(str(path)), Ok) and isinstance(check_settings(str(path)), Ok)
