--- a/fennelpoint/system/registry/operator_handlers.py
+++ b/fennelpoint/system/registry/operator_handlers.py
@@ -14,10 +14,10 @@
 
 from fennelpoint.system import config_versions
 from fennelpoint.system.http_server import Asking, Reply
-from fennelpoint.system.registry.allocation_leader import AllocationDuty
+from fennelpoint.system.registry.allocation_leader import AllocationLeader
 from fennelpoint.system.registry.backend_table import DRAINING, BackendTable
-from fennelpoint.system.registry.leader_lease import SPAN
-from fennelpoint.system.registry.membership import Members
+from fennelpoint.system.registry.leader_lease import LEASE_S
+from fennelpoint.system.registry.membership import Membership
 from fennelpoint.system.registry.pending_calls import PendingCall, error_reply
 from fennelpoint.system.store.idempotency import floor_of, upgrade
 
@@ -46,9 +46,9 @@
     cluster_state: dict
     contents: dict[str, bytes]
     linked_registries: set[str]
-    members: Members
+    members: Membership
     backends: BackendTable
-    allocation: AllocationDuty
+    allocation: AllocationLeader
 
     def has_quorum(self, now: float) -> bool: ...
     def answer(self, request: Asking, reply: Reply) -> None: ...
@@ -193,25 +193,42 @@
     def _call_status(self, request: Asking, now: float) -> None:
         """The state of the whole system as this core machine sees it."""
         registry, cluster_state = self.registry, self.registry.cluster_state
-        holder = registry.allocation.duty.holder
-        self.registry.answer(request, Reply(200, {
-            "node": registry.node_ip, "version": cluster_state.get("version", 0),
-            "revision": cluster_state.get("rev", 0), "voters": cluster_state.get("voters", {}),
-            "before": cluster_state.get("before", {}), "ready": cluster_state.get("ready", {}),
-            "evacuated": cluster_state.get("evac", []), "term": cluster_state.get("term", 0),
-            "reckons": holder[1] if holder is not None and now - registry.allocation.duty.holder_at < SPAN else "",
-            "linked": sorted(registry.linked_registries), "in_touch": registry.has_quorum(now),
-            "behind": sorted(
-                m.ip for m in registry.members.known.values() if m.version < cluster_state.get("version", 0)),
-            "drains": sorted(id for id, b in registry.backends.by_id.items() if b.report.state == DRAINING),
-            "fronts": [m.pack(now) for m in registry.members.known.values()],
-            "backends": [[*b.current_report(now).pack(), b.is_lost] for b in registry.backends.by_id.values()]}))
+        holder = registry.allocation.lease.holder
+        self.registry.answer(
+            request,
+            Reply(
+                200,
+                {
+                    "node": registry.node_ip,
+                    "version": cluster_state.get("version", 0),
+                    "revision": cluster_state.get("rev", 0),
+                    "voters": cluster_state.get("voters", {}),
+                    "before": cluster_state.get("before", {}),
+                    "ready": cluster_state.get("ready", {}),
+                    "evacuated": cluster_state.get("evac", []),
+                    "term": cluster_state.get("term", 0),
+                    "reckons": holder[1]
+                    if holder is not None and now - registry.allocation.lease.holder_seen_at < LEASE_S
+                    else "",
+                    "linked": sorted(registry.linked_registries),
+                    "in_touch": registry.has_quorum(now),
+                    "behind": sorted(
+                        m.ip for m in registry.members.known.values() if m.version < cluster_state.get("version", 0)
+                    ),
+                    "drains": sorted(id for id, b in registry.backends.by_id.items() if b.report.state == DRAINING),
+                    "fronts": [m.pack(now) for m in registry.members.known.values()],
+                    "backends": [
+                        [*b.current_report(now).pack(), b.is_lost] for b in registry.backends.by_id.values()
+                    ],
+                },
+            ),
+        )
 
     def _call_parts(self, request: Asking, now: float) -> None:
         """Which proxies hold which quota shares, from the allocator; other machines redirect to it."""
-        registry, duty, allocator = self.registry, self.registry.allocation.duty, self.registry.allocation.allocator
+        registry, duty, allocator = self.registry, self.registry.allocation.lease, self.registry.allocation.allocator
         if allocator is not None and duty.holds(now):
-            return registry.answer(request, Reply(200, {"node": registry.node_ip, **allocator.told(now)}))
-        if (holder := duty.holder) is None or now - duty.holder_at >= SPAN or holder[1] == registry.node_ip:
+            return registry.answer(request, Reply(200, {"node": registry.node_ip, **allocator.status(now)}))
+        if (holder := duty.holder) is None or now - duty.holder_seen_at >= LEASE_S or holder[1] == registry.node_ip:
             return registry.answer(request, error_reply(503, "no machine allocates quota shares at present"))
         registry.answer(request, Reply(307, {}, headers=[("Location", f"http://{holder[1]}:{registry.port}/api/parts")]))
--- a/fennelpoint/system/registry/state_machine.py
+++ b/fennelpoint/system/registry/state_machine.py
@@ -15,8 +15,8 @@
 from fennelpoint.system.http_server import Asking, Reply
 from fennelpoint.system.incarnation import first_number
 from fennelpoint.system.mesh import ip_of, name
-from fennelpoint.system.registry.allocation_leader import MESSAGES, AllocationDuty
-from fennelpoint.system.registry.allocation_parameters import ColdBackends, Figures
+from fennelpoint.system.registry.allocation_leader import ALLOCATION_MESSAGES, AllocationLeader
+from fennelpoint.system.registry.allocation_parameters import AllocationParameters, ColdBackends
 from fennelpoint.system.registry.backend_table import (
     DRAINING,
     GONE,
@@ -26,9 +26,9 @@
     BackendReport,
     BackendTable,
 )
-from fennelpoint.system.registry.directory import FRESH, Directory, homes_by_host
-from fennelpoint.system.registry.leader_lease import SPAN, Duty
-from fennelpoint.system.registry.membership import Members
+from fennelpoint.system.registry.directory import PROXY_FRESH_S, Directory, home_regions_by_host
+from fennelpoint.system.registry.leader_lease import LEASE_S, LeaderLease
+from fennelpoint.system.registry.membership import Membership
 from fennelpoint.system.registry.operator_handlers import OperatorHandlers
 from fennelpoint.system.registry.pending_calls import Answer, PendingCall, Save, error_reply
 from fennelpoint.system.registry.quorum_check import QuorumCheck
@@ -68,7 +68,7 @@
         self.bounds, self.heartbeat_s, self.incarnation, self.started_at = bounds, heartbeat_s, incarnation, now
         self.seeds = seeds
         self.store_peer = name("writ", node_ip)
-        self.backends, self.members = BackendTable(), Members()
+        self.backends, self.members = BackendTable(), Membership()
         self.cluster_state: dict = {}           # the newest agreed value that is known here
         self.contents: dict[str, bytes] = {}    # compressed configurations by digest
         # Callbacks that wait for a configuration, by its digest, each with the time when it was added.
@@ -86,8 +86,8 @@
         self.proxy_info: dict[str, dict] = {}   # of connected proxies, as they described themselves
         self.cold_backends = ColdBackends(bounds, region_of_zone)
         # On the very first start of the system no earlier process can hold a grant, so there is no lease to wait out.
-        duty = Duty(node_ip, now if is_first_start else now + SPAN, first_number(incarnation))
-        self.allocation = AllocationDuty(self, duty, self.cold_backends)
+        duty = LeaderLease(node_ip, now if is_first_start else now + LEASE_S, first_number(incarnation))
+        self.allocation = AllocationLeader(self, duty, self.cold_backends)
         self.state_confirmed_at = -1e9          # start of the newest read that completed
         self.lease_requests: list[tuple[str, float, int]] = []  # proxy, arrival and number; served by the next read
         self.last_read_started_at = -1e9
@@ -116,8 +116,12 @@
         """Handle a message from a peer; messages of unknown kinds are ignored."""
         self._check_for_pause(now)
         kind, *rest = message
-        self.relays.pop(peer, None)     # it reaches this machine directly again
-        handler = getattr(self.allocation, f"on_{kind}") if kind in MESSAGES else getattr(self, f"_on_{kind}", None)
+        self.relays.pop(peer, None)  # it reaches this machine directly again
+        handler = (
+            getattr(self.allocation, f"on_{kind}")
+            if kind in ALLOCATION_MESSAGES
+            else getattr(self, f"_on_{kind}", None)
+        )
         if handler is not None:
             handler(peer, now, *rest)
         return self._take_actions()
@@ -159,7 +163,7 @@
         if peer.startswith("roll@"):
             self.linked_registries.add(ip_of(peer)) if up else self.linked_registries.discard(ip_of(peer))
         if peer.startswith("roll@") and up:
-            self.members.tell_all_again()
+            self.members.resend_all()
             self.send(peer, ["probe", int(now * 1000)])
             items = [b.current_report(now).pack() for b in self.backends.by_id.values()]
             if items:
@@ -182,7 +186,7 @@
     def on_connection_refused(self, peer: str, dialled_at: float, now: float) -> list:
         """Handle a refused connection, dialled at `dialled_at`: no process listens at the peer's address."""
         if peer.startswith("roll@") and not self.quorum_check.possible_delay_s(now):
-            self.allocation.duty.ended(ip_of(peer), dialled_at, now)
+            self.allocation.lease.handle_refused_connection(ip_of(peer), dialled_at, now)
         return self._take_actions()
 
     def tick(self, now: float) -> list:
@@ -250,8 +254,8 @@
 
     def _expire(self, now: float) -> None:
         """Bound memory: forget silent proxies, and callbacks for configurations that no machine has any more."""
-        for ip in [m.ip for m in self.members.known.values() if now - m.heard > PROXY_RETENTION_S]:
-            self.members.forget(ip)
+        for ip in [m.ip for m in self.members.known.values() if now - m.last_request_at > PROXY_RETENTION_S]:
+            self.members.remove(ip)
         for digest, waiters in list(self.content_waiters.items()):
             self.content_waiters[digest] = [waiter for waiter in waiters if now - waiter[0] < CONTENT_WAIT_S]
             if not self.content_waiters[digest]:
@@ -398,9 +402,9 @@
 
     def _gossip(self, now: float) -> None:
         """Send the other registries the ids of backends heard here, and proxies: in full where their state is new."""
-        full, digests = self.members.gossip(now, FRESH)
+        full, digests = self.members.gossip(now, PROXY_FRESH_S)
         heard_ids, self.recently_heard_ids = sorted(self.recently_heard_ids), set()
-        ready_proxies = sorted(m.ip for m in self.members.ready(now, FRESH))
+        ready_proxies = sorted(m.ip for m in self.members.ready(now, PROXY_FRESH_S))
         if ready_proxies != self.announced_proxies:
             self.announced_proxies = ready_proxies
             for proxy in self.connected_proxies:
@@ -422,12 +426,12 @@
         if revived:
             self.actions.append(Note("FOUND", {"ids": ", ".join(revived)}))
             self._publish(revived, now)
-        if unknown := self.members.take(full, digests, delay_s, now):
+        if unknown := self.members.merge(full, digests, delay_s, now):
             self.send(peer, ["fronts_of", unknown])
 
     def _on_fronts_of(self, peer: str, now: float, numbers: list) -> None:
         """Gossip the full state of these proxies again: the peer has missed it."""
-        self.members.tell_again(numbers)
+        self.members.resend(numbers)
 
     def _query_suspects(self, now: float) -> None:
         """Ask the others about silent backends before these count as lost.
@@ -524,21 +528,23 @@
             return      # it may be stale; a proxy repeats it twice a second
         if (info := self.proxy_info.get(peer)) is None:
             return self.send(peer, ["who"])
-        self.members.fold(ip_of(peer), info["address"], info["zone"], info["region"], info["life"], ready,
+        self.members.update(ip_of(peer), info["address"], info["zone"], info["region"], info["life"], ready,
                           version, 0.0, now, True)
         self.connected_proxies[peer] = acknowledged
         self.lease_requests.append((peer, now, request_number))
         self._start_read(now)
         if share_request:
-            self.allocation.ask(now, [ip_of(peer), info["life"], info["region"], request_number, *share_request])
+            self.allocation.forward_request(
+                now, [ip_of(peer), info["life"], info["region"], request_number, *share_request]
+            )
 
     def _load_configuration(self) -> None:
         """Apply the newest configuration that is known, if its content has arrived."""
         digest = self.cluster_state["digest"]
-        if digest != self.allocation.figures.digest and (data := self.contents.get(digest)) is not None:
+        if digest != self.allocation.parameters.digest and (data := self.contents.get(digest)) is not None:
             configuration = config_versions.json.loads(zlib.decompress(data))
-            self.directory.homes = homes_by_host(configuration)
-            self.allocation.figures = Figures.read(digest, configuration)
+            self.directory.homes = home_regions_by_host(configuration)
+            self.allocation.parameters = AllocationParameters.from_configuration(digest, configuration)
 
     def request_read(self, now: float) -> None:
         """Start a read of the agreed state for this machine itself, not on behalf of a proxy."""
@@ -578,15 +584,15 @@
         if self.cluster_state and cluster_state["rev"] <= self.cluster_state["rev"]:
             return
         for zone in set(self.cluster_state["evac"] if self.cluster_state else ()) - set(cluster_state["evac"]):
-            self.cold_backends.restored[zone] = now
+            self.cold_backends.restored_at[zone] = now
         previous_digest = self.cluster_state.get("digest", "")
         membership_changed = not self.cluster_state or self.core_zones != {
             **cluster_state["ready"], **cluster_state["voters"]}
         self.cluster_state = cluster_state
         self.allocation.on_world(cluster_state["term"], now)
-        if (previous_digest in ("", self.allocation.figures.digest)
-                and cluster_state["digest"] != self.allocation.figures.digest):
-            self.allocation.behind_since = now
+        if (previous_digest in ("", self.allocation.parameters.digest)
+                and cluster_state["digest"] != self.allocation.parameters.digest):
+            self.allocation.outdated_since = now
         if cluster_state["digest"] and cluster_state["digest"] not in self.contents:
             self.next_content_request_at = now + CONTENT_RETRY_S
             self.send(self.store_peer, ["want", cluster_state["digest"]])
@@ -635,10 +641,10 @@
             self._on_world(peer, now, cluster_state)
         if status not in (200, 503):
             self.actions.append(Note("REFUSED", {"reason": reason}))
-        if self.allocation.leading is not None and token == self.allocation.leading[0]:
+        if self.allocation.term_request is not None and token == self.allocation.term_request[0]:
             self.allocation.term_numbered(status, cluster_state, now)
             if status == 200:
                 return
-        self.allocation.roster.changed(token, status)
+        self.allocation.enrollment.proposal_answered(token, status)
         if (pending := self.pending_calls.pop(token, None)) is not None:
             pending.on_result([status, reason])
--- a/fennelpoint/testing/scenario_language.py
+++ b/fennelpoint/testing/scenario_language.py
@@ -124,10 +124,10 @@
                 self._span(front, front.session.draw({tenant: int(units)}, self.now))
             case ["claim", ip, term]:   # it holds the duty, as by voters that none of the others goes by
                 registry = self.cores[ip].registry
-                duty = registry.allocation.duty
+                duty = registry.allocation.lease
                 duty.term, duty.held_until, duty.claimed_at = (int(term), ip), self.now + 1.0, self.now
-                duty.granted, duty.until = ip, self.now + 1.2
-                registry.allocation.lead(self.now)
+                duty.granted_to, duty.granted_until = ip, self.now + 1.2
+                registry.allocation.request_term(self.now)
                 self._roll(self.cores[ip], registry._take_actions())
             case ["expect", *rest]:
                 if not self._holds(rest):
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -16,8 +16,8 @@
 from fennelpoint.system.proxy.session_actions import Hold
 from fennelpoint.system.registry import leader_lease, state_machine
 from fennelpoint.system.registry.allocator import Allocator
-from fennelpoint.system.registry.grants import GRANT_LIFE, WHOLE
-from fennelpoint.system.registry.leader_lease import SPAN, Duty
+from fennelpoint.system.registry.grants import GRANT_TTL_S, TOTAL_SHARES
+from fennelpoint.system.registry.leader_lease import LEASE_S, LeaderLease
 from fennelpoint.system.store import replica
 from fennelpoint.system.store.replica import FOUNDED, KEY, Send, Store
 from fennelpoint.system.store.replicated_state import empty
@@ -97,41 +97,41 @@
     assert any(isinstance(a, Hold) and a.held for a in actions) is not fenced
 
 
-def two_hold_the_lease(restarted: Duty) -> bool:
+def two_hold_the_lease(restarted: LeaderLease) -> bool:
     """Whether two hold the lease after a claimant died while grants were on their way to it.
 
     The two would be its next incarnation and another machine.
     """
-    first, other = Duty("a", 0.0, first_number(1)), Duty("b", 0.0, first_number(3))
-    voters = {ip: Duty(ip, 0.0) for ip in "cde"}
-    term, delayed_grants = first.due(0.2, 0, True), []
+    first, other = LeaderLease("a", 0.0, first_number(1)), LeaderLease("b", 0.0, first_number(3))
+    voters = {ip: LeaderLease(ip, 0.0) for ip in "cde"}
+    term, delayed_grants = first.next_claim(0.2, 0, True), []
     for ip, voter in voters.items():
-        delayed_grants.append((term, first.claims, ip, voter.claimed(term, False, first.claims, 0.2)))
-    new_term = restarted.due(1.1, 0, True)
-    assert other.due(1.1, 1, True) is None      # second in line: it may claim from now on, after its delay
+        delayed_grants.append((term, first.last_claim, ip, voter.handle_claim(term, False, first.last_claim, 0.2)))
+    new_term = restarted.next_claim(1.1, 0, True)
+    assert other.next_claim(1.1, 1, True) is None      # second in line: it may claim from now on, after its delay
     for _, claim, ip, firm in delayed_grants:
-        restarted.voted(new_term, claim, ip, firm, "abcde", 1.15)
-    now = 0.2 + SPAN + 0.3
-    other.highest = 5
-    other_term = other.due(now, 1, True)
+        restarted.handle_grant(new_term, claim, ip, firm, "abcde", 1.15)
+    now = 0.2 + LEASE_S + 0.3
+    other.highest_term = 5
+    other_term = other.next_claim(now, 1, True)
     for ip, voter in voters.items():
-        if (firm := voter.claimed(other_term, False, other.claims, now)) is not None:
-            other.voted(other_term, other.claims, ip, firm, "abcde", now)
+        if (firm := voter.handle_claim(other_term, False, other.last_claim, now)) is not None:
+            other.handle_grant(other_term, other.last_claim, ip, firm, "abcde", now)
     assert other.holds(now)
     return restarted.holds(now)
 
 
 def test_a_grant_to_an_earlier_incarnation_does_not_count_for_the_next_claim() -> None:
-    assert not two_hold_the_lease(Duty("a", 0.9 + SPAN, first_number(2)))
+    assert not two_hold_the_lease(LeaderLease("a", 0.9 + LEASE_S, first_number(2)))
     # Planted fault: the claims carry the same numbers as those of the earlier incarnation.
-    assert two_hold_the_lease(Duty("a", 0.9 + SPAN, first_number(1)))
+    assert two_hold_the_lease(LeaderLease("a", 0.9 + LEASE_S, first_number(1)))
 
 
 def test_a_release_by_one_incarnation_does_not_release_the_claim_of_another(fenced: bool) -> None:
-    voter = Duty("v", 0.0)
-    voter.claimed((1, "a"), False, first_number(2) + 1, 5.0)
-    voter.released((1, "a"), first_number(3) + 9, 5.05)
-    assert (voter.claimed((2, "b"), False, 1, 5.1) is None) is fenced
+    voter = LeaderLease("v", 0.0)
+    voter.handle_claim((1, "a"), False, first_number(2) + 1, 5.0)
+    voter.handle_release((1, "a"), first_number(3) + 9, 5.05)
+    assert (voter.handle_claim((2, "b"), False, 1, 5.1) is None) is fenced
 
 
 def test_a_stored_answer_to_an_earlier_incarnation_does_not_count_as_a_copy(fenced: bool) -> None:
@@ -184,27 +184,30 @@
     Believing it, the new allocator would grant those shares a second time.
     """
     allocator = Allocator([2, "b"], ["f", "g"], 10.0)
-    delayed = allocator.want("f", 1, "ra", [[0, ""], 0], {}, None, {"t": 20.0}, {}, 10.1)
-    other_grant = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.2)
+    delayed = allocator.request_grant("f", 1, "ra", [[0, ""], 0], {}, None, {"t": 20.0}, {}, 10.1)
+    other_grant = allocator.request_grant("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.2)
     assert delayed is None and (other_grant is None or not other_grant.quotas)
-    held_shares = [{"t": 900}, {}, 0, [2, "b"], GRANT_LIFE]
-    allocator.want("f", 2, "ra", [[1, "a"], 7], {"t": 1}, held_shares, {"t": 20.0}, {}, 10.3)
-    other_grant = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.4)
-    assert 0 < other_grant.quotas["t"] <= WHOLE - 900
+    held_shares = [{"t": 900}, {}, 0, [2, "b"], GRANT_TTL_S]
+    allocator.request_grant("f", 2, "ra", [[1, "a"], 7], {"t": 1}, held_shares, {"t": 20.0}, {}, 10.3)
+    other_grant = allocator.request_grant("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, {"t": 20.0}, {}, 10.4)
+    assert 0 < other_grant.quotas["t"] <= TOTAL_SHARES - 900
     # Nor does a request that was made to the previous allocator.
     new_allocator = Allocator([3, "c"], ["f", "g"], 20.0)
-    assert new_allocator.want("f", 2, "ra", [[1, "a"], 7], {}, held_shares, {"t": 20.0}, {}, 20.1) is None
+    assert new_allocator.request_grant("f", 2, "ra", [[1, "a"], 7], {}, held_shares, {"t": 20.0}, {}, 20.1) is None
 
 
 def test_a_delayed_request_of_an_earlier_incarnation_takes_nothing_from_the_live_one() -> None:
     allocator, rates = Allocator([2, "b"], ["f", "g"], 10.0), {"t": 20.0}
-    allocator.want("g", 5, "ra", [[2, "b"], 0], {}, None, rates, {}, 10.1)
-    grant = allocator.want("f", 2, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.2)
+    allocator.request_grant("g", 5, "ra", [[2, "b"], 0], {}, None, rates, {}, 10.1)
+    grant = allocator.request_grant("f", 2, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.2)
     assert grant.quotas["t"] > 600
-    allocator.want("f", 1, "ra", [[2, "b"], 0], {}, None, rates, {}, 10.3)    # delayed: that incarnation has ended
-    other_grant = allocator.want("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.4)
-    assert other_grant.quotas["t"] <= WHOLE - grant.quotas["t"]
-    assert allocator.want("f", 2, "ra", [[2, "b"], grant.number], {"t": 50}, None, rates, {}, 10.5) is not None
+    # delayed: that incarnation has ended
+    allocator.request_grant("f", 1, "ra", [[2, "b"], 0], {}, None, rates, {}, 10.3)
+    other_grant = allocator.request_grant("g", 5, "ra", [[2, "b"], 0], {"t": 50}, None, rates, {}, 10.4)
+    assert other_grant.quotas["t"] <= TOTAL_SHARES - grant.quotas["t"]
+    assert (
+        allocator.request_grant("f", 2, "ra", [[2, "b"], grant.number], {"t": 50}, None, rates, {}, 10.5) is not None
+    )
 
 
 def test_a_restarted_proxy_takes_no_shares_of_an_allocator_that_was_replaced() -> None:
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -71,7 +71,7 @@
         store, registry = core.store, core.registry
         return (core.up and store.keeper.votes and store.world.get("version") == self.changes_made
                 and registry.cluster_state.get("rev", -1) >= newest - 1
-                and registry.allocation.figures.digest == store.world["digest"]
+                and registry.allocation.parameters.digest == store.world["digest"]
                 and store.world["digest"] in core.contents)
 
     def recover(self, ip: str) -> tuple[float, int]:
