--- a/benchmarks/retry_budget.py
+++ b/benchmarks/retry_budget.py
@@ -30,7 +30,7 @@
 
 from docopt import docopt
 
-from fennelpoint.system.proxy.controller import Decider
+from fennelpoint.system.proxy.controller import ProxyController
 from fennelpoint.system.proxy.retry_budget import RetryBudget
 from fennelpoint.testing.retry_histories import drawn
 from fennelpoint.testing.retry_simulation import RetryWorld
@@ -55,23 +55,23 @@
 
     def earn(self, came_at: float, now: float) -> None:
         self._update(now)
-        self.saved = min(self.share + MOST_SAVED, self.saved + PART * self.ratio)
+        self.saved_slack = min(self.share + MOST_SAVED, self.saved_slack + PART * self.ratio)
 
     def allows(self, now: float) -> bool:
         self._update(now)
-        return self.saved >= 1.0
+        return self.saved_slack >= 1.0
 
     def spend(self, now: float) -> None:
         self._update(now)
-        self.saved -= 1.0
+        self.saved_slack -= 1.0
 
-    def lease(self, share: float, now: float) -> None:
+    def set_share(self, share: float, now: float) -> None:
         self._update(now)
         self.share = share
 
     def _update(self, now: float) -> None:
-        came = self.share / self.window * (now - self.filled_at)
-        self.saved = min(max(self.share, self.saved), self.saved + came)
+        came = self.share / self.window_s * (now - self.filled_at)
+        self.saved_slack = min(max(self.share, self.saved_slack), self.saved_slack + came)
         self.filled_at = now
 
 
@@ -87,30 +87,35 @@
 
     def allows(self, now: float) -> bool:
         for times in (self.requests, self.retries):
-            while times and times[0] <= now - self.window:
+            while times and times[0] <= now - self.window_s:
                 times.popleft()
         return len(self.retries) + 1 <= self.ratio * len(self.requests) + self.share
 
     def spend(self, now: float) -> None:
         self.retries.append(now)
 
-    def lease(self, share: float, now: float) -> None:
+    def set_share(self, share: float, now: float) -> None:
         self.share = share
 
 
-class Without(Decider):
-    BUDGET = NoRetries
+class Without(ProxyController):
+    RETRY_BUDGET = NoRetries
 
 
-class Saved(Decider):
-    BUDGET = SavedBudget
+class Saved(ProxyController):
+    RETRY_BUDGET = SavedBudget
 
 
-class Windowed(Decider):
-    BUDGET = WindowBudget
+class Windowed(ProxyController):
+    RETRY_BUDGET = WindowBudget
 
 
-VARIANTS: dict[str, type[Decider]] = {"none": Without, "saved": Saved, "window": Windowed, "credit": Decider}
+VARIANTS: dict[str, type[ProxyController]] = {
+    "none": Without,
+    "saved": Saved,
+    "window": Windowed,
+    "credit": ProxyController,
+}
 
 
 def served(seconds: float) -> None:
--- a/fennelpoint/system/proxy/__init__.py
+++ b/fennelpoint/system/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""`span`: the front.  The present ingress and its decision module, told by the core what holds."""
+"""The proxy role (`span`): the ingress server and its decision module, under leases and grants from the core."""
--- a/fennelpoint/system/proxy/config_fetch.py
+++ b/fennelpoint/system/proxy/config_fetch.py
@@ -1,4 +1,4 @@
-"""Whom a front asks for the newest configuration while that has not come."""
+"""Which core machines a proxy requests the newest configuration's content from, until it has arrived."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 from dataclasses import dataclass, field
 from math import inf
 
-AGAIN = 0.45  # s after which a content is asked for anew
-AT_A_TIME = 2  # core machines that are asked then: contents are the longest of all that is sent
+RETRY_INTERVAL_S = 0.45
+PARALLEL_RETRIES = 2  # core machines asked by each retry: contents are the longest of all messages
 
 
 @dataclass(slots=True)
 class ContentRequests:
-    """The requests of one front; peers are the names of core machines."""
+    """The content requests of one proxy; peers are the names of core machines."""
 
-    named_by: set[str] = field(default_factory=set)  # who named the newest revision
-    digest: str = ""  # of the content that was asked for last
-    asked_at: float = -inf
-    repeats: int = 0  # of the requests for it
+    announced_by: set[str] = field(default_factory=set)  # peers that announced the newest revision
+    digest: str = ""  # of the content that was requested last
+    sent_at: float = -inf
+    retries: int = 0  # of the request for `digest`
 
-    def named(self, peer: str, first: bool) -> None:
-        """It named the newest revision that is known; `first`: no other one has."""
-        if first:
-            self.named_by.clear()
-        self.named_by.add(peer)
+    def note_announcement(self, peer: str, is_first: bool) -> None:
+        """The peer announced the newest known revision; `is_first` if no other peer has done so."""
+        if is_first:
+            self.announced_by.clear()
+        self.announced_by.add(peer)
 
-    def due(self, now: float) -> bool:
-        """Whether it is time to ask again."""
-        return now - self.asked_at > AGAIN
+    def is_due(self, now: float) -> bool:
+        """Whether it is time for a retry."""
+        return now - self.sent_at > RETRY_INTERVAL_S
 
-    def whom(self, digest: str, reached: Sequence[str], now: float) -> list[str]:
-        """Those to ask for a content now, of these that are connected, the best first.
+    def peers_to_ask(self, digest: str, connected: Sequence[str], now: float) -> list[str]:
+        """Record a request that is sent now and return its recipients among the connected peers, the best first.
 
-        The best one is asked first; after that those that named the revision, in turn: one that is cut off from the
-        others has not got the content, and can't fetch it.
+        The first request goes to the best peer, retries go round those that announced the revision: a peer that is
+        cut off from the others does not have the content and cannot fetch it.
         """
-        self.repeats = self.repeats + 1 if self.digest == digest else 0
-        self.digest, self.asked_at = digest, now
-        if not self.repeats:
-            return list(reached[:1])
-        candidates = [peer for peer in reached if peer in self.named_by] or list(reached)
-        first = self.repeats - 1
-        return [candidates[(first + place) % len(candidates)] for place in range(min(AT_A_TIME, len(candidates)))]
+        self.retries = self.retries + 1 if self.digest == digest else 0
+        self.digest, self.sent_at = digest, now
+        if not self.retries:
+            return list(connected[:1])
+        candidates = [peer for peer in connected if peer in self.announced_by] or list(connected)
+        first = self.retries - 1
+        return [candidates[(first + i) % len(candidates)] for i in range(min(PARALLEL_RETRIES, len(candidates)))]
--- a/fennelpoint/system/proxy/controller.py
+++ b/fennelpoint/system/proxy/controller.py
@@ -1,9 +1,9 @@
-"""The decision module on a proxy of the whole system: admission by what the registry leases to it.
+"""The decision module on a proxy of the distributed system: admission by what the registry leases to it.
 
-In the places of the module's concerns: quotas by leased shares (`LeasedQuotas`), a choice of backend by distance,
-slots and leased rates of cold ones (`NearestBackend`), a line that ends requests while a client can go elsewhere
-(`BriefWaiting`).  `Decider` adds classes and plans that change with the configuration, and a budget of retries for
-each service.
+It replaces three concerns of the module: quotas by leased shares (`LeasedQuotas`), a choice of backend by distance,
+slots and leased rates of backends in cold start (`NearestBackend`), and a queue that times requests out while their
+clients can still try another proxy (`TimeoutQueue`).  `ProxyController` adds classes and plans that change with the
+configuration, and a retry budget for each service.
 """
 
 from __future__ import annotations
@@ -15,123 +15,125 @@
 from fennelpoint.cells.cell_controller import CelledController
 from fennelpoint.state import Try
 from fennelpoint.system.proxy.events import (
-    BackendPlaces,
+    BackendPlacement,
     Catalogue,
     LeasedShares,
-    LeaseExtended,
     RetryRule,
+    SharesExtended,
     UnitsGranted,
 )
 from fennelpoint.system.proxy.leased_quotas import LeasedQuotas
 from fennelpoint.system.proxy.placement import NearestBackend
-from fennelpoint.system.proxy.queue_timeout import MOST_ADVICE, BriefWaiting
+from fennelpoint.system.proxy.queue_timeout import MAX_RETRY_AFTER_S, TimeoutQueue
 from fennelpoint.system.proxy.retry_budget import RetryBudget
 
 
-class Decider(CelledController):
-    """The decisions of one front."""
+class ProxyController(CelledController):
+    """The decisions of one proxy."""
 
-    QUOTAS, SELECTION, WAITING = LeasedQuotas, NearestBackend, BriefWaiting
-    BUDGET = RetryBudget  # of each service
+    QUOTAS, SELECTION, WAITING = LeasedQuotas, NearestBackend, TimeoutQueue
+    RETRY_BUDGET = RetryBudget  # class of each service's budget
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
         self.retry_rule = RetryRule(0.0, 10.0)
-        self.budgets: dict[str, RetryBudget] = {}  # of retries, by service
-        self.slack = 0.0  # this proxy's share of the retry rule's slack
-        self.leased_until = inf  # when the shares end
+        self.budgets: dict[str, RetryBudget] = {}  # by service
+        self.slack_share = 0.0  # this proxy's share of the retry rule's slack
+        self.shares_expire_at = inf
         self.on |= {
-            Catalogue: self._catalogue,
-            LeasedShares: self._leased,
-            LeaseExtended: self._extended,
-            BackendPlaces: self._placed,
-            UnitsGranted: self._granted,
-            RetryRule: self._bound_retries,
+            Catalogue: self._update_catalogue,
+            LeasedShares: self._set_shares,
+            SharesExtended: self._extend_shares,
+            BackendPlacement: self._update_placement,
+            UnitsGranted: self._add_units,
+            RetryRule: self._set_retry_rule,
         }
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """Guards what others hold by now: a process that stood still may hear of anything before its own timers."""
-        if now >= self.leased_until:
-            self._end_lease(now)
+        """Guards shares that others may hold by now: after a pause a process may read events before timers run."""
+        if now >= self.shares_expire_at:
+            self._expire_shares(now)
         return super().handle(event, now)
 
-    # What the core tells
+    # Events from the core
 
-    def _catalogue(self, event: Catalogue, now: float) -> None:
-        self.quotas.change(event.classes, event.plans, now)
-        self.selection.learn_of(event.classes)
+    def _update_catalogue(self, event: Catalogue, now: float) -> None:
+        self.quotas.update_plans(event.classes, event.plans, now)
+        self.selection.add_classes(event.classes)
         self.waiting.pump(now)
 
-    def _leased(self, event: LeasedShares, now: float) -> None:
-        self.leased_until = event.until
-        self.quotas.lease(event.shares, event.pooled, now)
-        self._share_slack(event.slack, now)
-        self.waiting.ask_again(now)
+    def _set_shares(self, event: LeasedShares, now: float) -> None:
+        self.shares_expire_at = event.expires_at
+        self.quotas.set_shares(event.shares, event.has_pools, now)
+        self._set_slack_share(event.slack, now)
+        self.waiting.repeat_unit_requests(now)
 
-    def _extended(self, event: LeaseExtended, now: float) -> None:
-        if self.leased_until < inf:  # else nothing is leased
-            self.leased_until = max(self.leased_until, event.until)
+    def _extend_shares(self, event: SharesExtended, now: float) -> None:
+        if self.shares_expire_at < inf:  # else nothing is leased
+            self.shares_expire_at = max(self.shares_expire_at, event.expires_at)
 
-    def _end_lease(self, now: float) -> None:
-        self.leased_until = inf
-        self.quotas.lease({}, False, now)
-        self.selection.end_lease()
-        self._share_slack(0.0, now)
+    def _expire_shares(self, now: float) -> None:
+        self.shares_expire_at = inf
+        self.quotas.set_shares({}, False, now)
+        self.selection.expire_rates()
+        self._set_slack_share(0.0, now)
 
-    def _share_slack(self, share: float, now: float) -> None:
-        self.slack = share
+    def _set_slack_share(self, share: float, now: float) -> None:
+        self.slack_share = share
         for budget in self.budgets.values():
-            budget.lease(share, now)
+            budget.set_share(share, now)
 
-    def _bound_retries(self, event: RetryRule, now: float) -> None:
+    def _set_retry_rule(self, event: RetryRule, now: float) -> None:
         self.retry_rule = event
 
-    def _granted(self, event: UnitsGranted, now: float) -> None:
-        for t in self.quotas.grant(event, now):
-            self.waiting.refuse(t, now, 0.0)
+    def _add_units(self, event: UnitsGranted, now: float) -> None:
+        for pending in self.quotas.add_units(event, now):
+            self.waiting.refuse(pending, now, 0.0)
         self.waiting.pump(now)
 
-    def _placed(self, event: BackendPlaces, now: float) -> None:
-        self.selection.take(event)
+    def _update_placement(self, event: BackendPlacement, now: float) -> None:
+        self.selection.update_placement(event)
 
     def _admit(self, ask: api.Request, now: float) -> None:
         if self.barred:
-            return self.out.append(api.Refuse(ask.request, MOST_ADVICE))
+            return self.out.append(api.Refuse(ask.request, MAX_RETRY_AFTER_S))
         super()._admit(ask, now)
 
     # Retries
 
-    def _outcome(self, o: api.Outcome, now: float) -> None:
-        if o.wrote and (t := self.line.open.get(o.request)) is not None:
-            t.reached = True  # of a request cut off half way the backend may have counted the head
-        super()._outcome(o, now)
+    def _outcome(self, outcome: api.Outcome, now: float) -> None:
+        if outcome.wrote and (pending := self.line.open.get(outcome.request)) is not None:
+            pending.reached = True  # a backend may have counted the head of a request that was cut off half way
+        super()._outcome(outcome, now)
 
-    def _place(self, t: Try, now: float) -> bool:
-        if t.attempts and not self._may_retry(t, now):
+    def _place(self, pending: Try, now: float) -> bool:
+        if pending.attempts and not self._may_retry(pending, now):
             return False
-        placed = super()._place(t, now)
-        if placed:
-            budget = self._budget(t, now)
-            if t.attempts == 1:
-                budget.earn(t.came_at, now)
-                self.waiting.order.add(self.waiting.level(t), True, now)
-            elif t.reached:
+        is_placed = super()._place(pending, now)
+        if is_placed:
+            budget = self._budget_of(pending, now)
+            if pending.attempts == 1:
+                budget.earn(pending.came_at, now)
+                self.waiting.fair_order.record(self.waiting.level_of(pending), True, now)
+            elif pending.reached:
                 budget.spend(now)
-        return placed
+        return is_placed
 
-    def _budget(self, t: Try, now: float) -> RetryBudget:
-        service = t.ask.cell.partition("|")[0]
+    def _budget_of(self, pending: Try, now: float) -> RetryBudget:
+        service = pending.ask.cell.partition("|")[0]
         if (budget := self.budgets.get(service)) is None:
             rule = self.retry_rule
-            budget = self.budgets[service] = self.BUDGET(rule.ratio, rule.window, self.slack, now)
+            budget = self.budgets[service] = self.RETRY_BUDGET(rule.ratio, rule.window_s, self.slack_share, now)
         return budget
 
-    def _may_retry(self, t: Try, now: float) -> bool:
-        """Whether it may be sent to another backend: by the budget, if one may have received it."""
-        return not t.reached or self._budget(t, now).allows(now)
+    def _may_retry(self, pending: Try, now: float) -> bool:
+        """Whether it may go to another backend: by the budget, if a backend may have received it before."""
+        return not pending.reached or self._budget_of(pending, now).allows(now)
 
-    def _again(self, t: Try, o: api.Outcome, now: float) -> bool:
-        t.avoid = o.backend
-        if t.attempts >= (t.ask.attempts or self.settings.max_attempts) or not self._may_retry(t, now):
+    def _again(self, pending: Try, outcome: api.Outcome, now: float) -> bool:
+        pending.avoid = outcome.backend
+        if pending.attempts >= (pending.ask.attempts or self.settings.max_attempts) or not self._may_retry(
+            pending, now
+        ):
             return False
-        return t.ran_at is None or allowed(t, self.settings, now)
+        return pending.ran_at is None or allowed(pending, self.settings, now)
--- a/fennelpoint/system/proxy/controller_host.py
+++ b/fennelpoint/system/proxy/controller_host.py
@@ -1,4 +1,4 @@
-"""The present host and pools, for the protocol of the whole system."""
+"""The ingress host and its connection pools, for the HTTP protocol of the distributed system."""
 
 from __future__ import annotations
 
@@ -9,76 +9,77 @@
 from fennelpoint.net.controller_host import Host, Ticket
 from fennelpoint.system.proxy.events import UnitsNeeded
 
-KEPT_PART = 0.6     # of the time that a backend keeps an idle connection
-OVER = 429
-PROMISES = frozenset((408, 421, 429, 503))  # to a client: it has not run, and never will
+KEEP_ALIVE_FRACTION = 0.6   # of the time for which a backend keeps an idle connection open
+TOO_MANY_REQUESTS = 429
+NOT_EXECUTED = frozenset((408, 421, 429, 503))  # promise the client that the request has not run, and never will
 
 
-class SystemBackends(Backends):
-    """Answers are told apart by the request's id, the backend's seal, and its word that it has not run it."""
+class ProxyBackends(Backends):
+    """Judges answers by the attempt id, the backend's seal and its statement that it has not run the request."""
 
     def judge(self, exchange: Exchange, status: int, headers: list[tuple[bytes, bytes]]) -> api.Status | None:
-        named = sealed = turned_away = False
+        has_id = has_seal = is_not_executed = False
         for name, value in headers:
             if name == b"x-attempt-id":
                 if value != exchange.txn:
-                    return None     # another request's, come late
-                named = True
+                    return None     # a late answer to another request
+                has_id = True
             elif name == b"x-server-seal":
-                sealed = True
+                has_seal = True
             elif name == b"x-not-executed":
-                turned_away = True
+                is_not_executed = True
         if status == 421:
             return api.Status.ELSEWHERE
-        if turned_away:
+        if is_not_executed:
             return api.Status.FULL
         if 200 <= status < 300:
-            return api.Status.OK if named and sealed else None
-        return api.Status.ERROR if named and status >= 300 else None
+            return api.Status.OK if has_id and has_seal else None
+        return api.Status.ERROR if has_id and status >= 300 else None
 
     def names(self, exchange: Exchange, headers: list[tuple[bytes, bytes]]) -> bool:
         return (b"x-attempt-id", exchange.txn) in headers
 
     def tells(self, exchange: Exchange, connection: UpstreamConnection) -> bool:
-        """Guards what may run once: a late copy of an earlier refusal says of a request at work that it never ran.
+        """Guards requests that may run once: a late copy of an earlier refusal would deny that a request has run.
 
-        A copy bears the id of the request before, which an earlier attempt of the very same one shares, or none.
+        Such a copy bears the id of the connection's previous request, which may be an earlier attempt of the same
+        request and so share its id, or it bears no id.
         """
         return not exchange.once or not (connection.nameless or connection.last_txn == exchange.txn)
 
     def keeps_for(self, headers: list[tuple[bytes, bytes]]) -> float:
         for name, value in headers:
             if name == b"keep-alive":
-                for part in value.split(b","):
-                    word, _, number = part.strip().partition(b"=")
-                    if word.lower() == b"timeout" and number.isdigit():
-                        return KEPT_PART * int(number)
+                for parameter in value.split(b","):
+                    key, _, number = parameter.strip().partition(b"=")
+                    if key.lower() == b"timeout" and number.isdigit():
+                        return KEEP_ALIVE_FRACTION * int(number)
         return super().keeps_for(headers)
 
 
-class SystemHost(Host):
-    """Gives a backend's own refusal or failure back unchanged where nothing better comes."""
+class ProxyHost(Host):
+    """Returns a backend's own refusal or failure to the client unchanged if no better answer arrives."""
 
     def __init__(self, *arguments: object) -> None:
-        self.need: Callable[[int, float], None] = lambda customer, units: None
+        self.request_units: Callable[[int, float], None] = lambda customer, units: None
         super().__init__(*arguments)
-        self._do[UnitsNeeded] = lambda a: self.need(a.customer, a.units)
+        self._do[UnitsNeeded] = lambda action: self.request_units(action.customer, action.units)
 
     @staticmethod
-    def _passed_on(ticket: Ticket) -> Answer | None:
-        """A backend's own failure, for the client; none where its status would promise what nobody has said."""
+    def _backend_failure(ticket: Ticket) -> Answer | None:
+        """A backend's own failure, for the client; none if its status would promise that a write has not run."""
         last = ticket.last
-        return None if last is not None and ticket.asked.is_write and last.status in PROMISES else last
+        return None if last is not None and ticket.asked.is_write and last.status in NOT_EXECUTED else last
 
     def _refuse(self, refuse: api.Refuse) -> None:
         if (ticket := self.tickets.get(refuse.request)) is not None:
-            if (last := self._passed_on(ticket)) is not None:
+            if (last := self._backend_failure(ticket)) is not None:
                 return self._finish(ticket, lambda client: client.served(last))
-            status = OVER if refuse.over else 503
+            status = TOO_MANY_REQUESTS if refuse.over else 503
             self._finish(ticket, lambda client: client.refused(refuse.retry_after, status))
 
     def _fail(self, fail: api.Fail) -> None:
         if (ticket := self.tickets.get(fail.request)) is not None:
-            if (last := self._passed_on(ticket)) is not None:
+            if (last := self._backend_failure(ticket)) is not None:
                 return self._finish(ticket, lambda client: client.served(last))
             self._finish(ticket, lambda client: client.failed())
--- a/fennelpoint/system/proxy/core_choice.py
+++ b/fennelpoint/system/proxy/core_choice.py
@@ -1,6 +1,7 @@
-"""Which core machines a front turns to: near ones that answer, and others while none of these does.
+"""Which core machines a proxy connects to: near ones that answer, and fallbacks while none of them does.
 
-A connection that is up proves nothing: a core machine that is cut off from a majority takes asks and can't answer.
+An established connection is no proof: a core machine that is cut off from a majority receives requests and cannot
+answer them.
 """
 
 from __future__ import annotations
@@ -11,107 +12,109 @@
 
 from fennelpoint.system.rendezvous_hashing import preference
 
-USUAL = 3  # machines that are held: the nearest, and one in each of two other regions
-SILENT = 0.9  # s that an answer is owed, or a connection missing, until a machine counts as silent
-ANSWERS = 1.2  # s since its last answer in which a machine counts as one that answers: two asks
-NEXT_STAND_IN = 0.35  # s between two further machines that are tried while none answers
-STAND_IN_KEPT = 5.0  # s that a further machine is held once a usual one answers again
-START_GRACE = 1.0  # s more for the first answer: hundreds of fronts may start together
-FORGIVEN = 4.0  # s after which a silent machine that is no longer held is worth another try
+DEFAULT_MACHINES = 3  # connected at all times: the nearest, and one in each of two other regions
+SILENT_AFTER_S = 0.9  # without an answer that is due, or without a connection
+ANSWERING_WITHIN_S = 1.2  # of its last answer a machine counts as answering: two requests
+FALLBACK_INTERVAL_S = 0.35  # between two further machines that are tried while none answers
+FALLBACK_RETENTION_S = 5.0  # that a fallback stays connected once a default machine answers again
+START_GRACE_S = 1.0  # more for the first answer: hundreds of proxies may start together
+SILENCE_RESET_S = 4.0  # after which a silent machine that is no longer connected is eligible again
 
 
 @dataclass(slots=True)
 class CoreChoice:
-    """The choice of one front.  Machines are IP addresses, `zones` has those that are known, with their zones."""
+    """The choice of one proxy.  Machines are IP addresses; `zones` maps all known machines to their zones."""
 
-    me: str
+    own_ip: str
     zone: str
     region: str
     regions: dict[str, str]
-    owing: dict[str, float] = field(default_factory=dict)  # since when each has owed an answer or a connection
-    answers: dict[str, float] = field(default_factory=dict)  # when each last answered
-    answered_at: float = -inf  # when any of them did, or when the first were known
-    stand_ins: dict[str, float] = field(default_factory=dict)  # further machines, and until when each is held
-    tried: dict[str, float] = field(default_factory=dict)  # when each was last taken as one
-    ordered: dict[str, str] = field(default_factory=dict)  # of whom the next two are kept
+    unanswered_since: dict[str, float] = field(default_factory=dict)  # also for a connection that is missing
+    last_answer_at: dict[str, float] = field(default_factory=dict)  # by machine
+    answered_at: float = -inf  # the last answer of any machine, or when the machines became known
+    fallbacks: dict[str, float] = field(default_factory=dict)  # further machines, and until when each is retained
+    fallback_chosen_at: dict[str, float] = field(default_factory=dict)  # by machine, the last time
+    ordered_zones: dict[str, str] = field(default_factory=dict)  # the input that the next two were computed from
     nearest: list[str] = field(default_factory=list)
-    always: list[str] = field(default_factory=list)
+    defaults: list[str] = field(default_factory=list)
 
-    def order(self, zones: dict[str, str]) -> list[str]:
-        """All of them, the nearest first, equals in an order of this front's own."""
-        self._arrange(zones)
+    def by_distance(self, zones: dict[str, str]) -> list[str]:
+        """All machines, the nearest first; equally near ones in an order that differs from proxy to proxy."""
+        self._compute_order(zones)
         return self.nearest
 
-    def usual(self, zones: dict[str, str]) -> list[str]:
-        """Those that are held whether they answer or not."""
-        self._arrange(zones)
-        return self.always
+    def default_machines(self, zones: dict[str, str]) -> list[str]:
+        """Machines to stay connected to, whether they answer or not."""
+        self._compute_order(zones)
+        return self.defaults
 
-    def _arrange(self, zones: dict[str, str]) -> None:
-        if zones == self.ordered:
+    def _compute_order(self, zones: dict[str, str]) -> None:
+        if zones == self.ordered_zones:
             return
 
         def distance(ip: str) -> tuple:
             zone = zones[ip]
-            return (zone != self.zone, self.regions.get(zone) != self.region, preference(self.me, ip))
+            return (zone != self.zone, self.regions.get(zone) != self.region, preference(self.own_ip, ip))
 
-        self.ordered, self.nearest = zones, sorted(zones, key=distance)
+        self.ordered_zones, self.nearest = zones, sorted(zones, key=distance)
         chosen, regions = [], set()
         for ip in self.nearest:
             region = self.regions.get(zones[ip], ip)
             if region not in regions or ip == self.nearest[0]:
                 regions.add(region)
                 chosen.append(ip)
-        self.always = chosen[:USUAL]
-        for remembered in (self.owing, self.answers, self.tried):
-            for ip in remembered.keys() - zones.keys():
-                del remembered[ip]
-
-    def by_answers(self, zones: dict[str, str], now: float) -> list[str]:
-        """All of them, those that are silent last, else the nearest first."""
-        return sorted(self.order(zones), key=lambda ip: self.silent(ip, now))
-
-    def held(self, zones: dict[str, str]) -> list[str]:
-        """Those to hold connections to."""
-        return list(dict.fromkeys([*self.usual(zones), *self.stand_ins]))
-
-    def silent(self, ip: str, now: float) -> bool:
-        """Whether it has not answered for long, or not been in reach."""
-        return now - self.owing.get(ip, now) > SILENT
-
-    def asked(self, ip: str, now: float) -> None:
-        """It owes an answer from now on."""
-        self.owing.setdefault(ip, now)
-
-    def answered(self, ip: str, now: float) -> None:
-        """It has answered an ask."""
-        self.owing.pop(ip, None)
-        self.answers[ip] = self.answered_at = now
-
-    def renew(self, zones: dict[str, str], reached: Container[str], now: float) -> None:
-        """Take further machines while none answers, and let go of them once the usual ones do."""
+        self.defaults = chosen[:DEFAULT_MACHINES]
+        for by_machine in (self.unanswered_since, self.last_answer_at, self.fallback_chosen_at):
+            for ip in by_machine.keys() - zones.keys():
+                del by_machine[ip]
+
+    def by_responsiveness(self, zones: dict[str, str], now: float) -> list[str]:
+        """All machines, the nearest first, with the silent ones last."""
+        return sorted(self.by_distance(zones), key=lambda ip: self.is_silent(ip, now))
+
+    def connection_targets(self, zones: dict[str, str]) -> list[str]:
+        """Machines to keep connections to: the defaults, then the fallbacks."""
+        return list(dict.fromkeys([*self.default_machines(zones), *self.fallbacks]))
+
+    def is_silent(self, ip: str, now: float) -> bool:
+        """Whether an answer is overdue, or the connection has been missing for as long."""
+        return now - self.unanswered_since.get(ip, now) > SILENT_AFTER_S
+
+    def note_request(self, ip: str, now: float) -> None:
+        """A request was sent to the machine; an older one that is still unanswered counts instead."""
+        self.unanswered_since.setdefault(ip, now)
+
+    def note_answer(self, ip: str, now: float) -> None:
+        """The machine answered a request."""
+        self.unanswered_since.pop(ip, None)
+        self.last_answer_at[ip] = self.answered_at = now
+
+    def update_fallbacks(self, zones: dict[str, str], connected: Container[str], now: float) -> None:
+        """Add fallbacks while no machine answers, and drop them once the default machines do."""
         if self.answered_at == -inf:
-            self.answered_at = now + START_GRACE
-        usual = self.usual(zones)
-        for ip in self.held(zones):
-            if ip not in reached:
-                self.owing.setdefault(ip, now)
-        if now - self.answered_at > SILENT:
-            self._try_another(zones, usual, now)
-        elif not any(now - self.answers.get(ip, -inf) <= ANSWERS for ip in usual):
-            self.stand_ins = dict.fromkeys(self.stand_ins, now + STAND_IN_KEPT)
-        self.stand_ins = {ip: until for ip, until in self.stand_ins.items() if now < until and ip in zones}
-        held = self.held(zones)
-        for ip in [ip for ip, since in self.owing.items() if ip not in held and now - since > FORGIVEN]:
-            del self.owing[ip]
-
-    def _try_another(self, zones: dict[str, str], usual: list[str], now: float) -> None:
-        self.stand_ins = {ip: until for ip, until in self.stand_ins.items() if not self.silent(ip, now)}
-        if now - max(self.tried.values(), default=-inf) < NEXT_STAND_IN:
+            self.answered_at = now + START_GRACE_S
+        defaults = self.default_machines(zones)
+        for ip in self.connection_targets(zones):
+            if ip not in connected:
+                self.unanswered_since.setdefault(ip, now)
+        if now - self.answered_at > SILENT_AFTER_S:
+            self._add_fallback(zones, defaults, now)
+        elif not any(now - self.last_answer_at.get(ip, -inf) <= ANSWERING_WITHIN_S for ip in defaults):
+            self.fallbacks = dict.fromkeys(self.fallbacks, now + FALLBACK_RETENTION_S)
+        self.fallbacks = {ip: until for ip, until in self.fallbacks.items() if now < until and ip in zones}
+        targets = self.connection_targets(zones)
+        for ip in [
+            ip for ip, since in self.unanswered_since.items() if ip not in targets and now - since > SILENCE_RESET_S
+        ]:
+            del self.unanswered_since[ip]
+
+    def _add_fallback(self, zones: dict[str, str], defaults: list[str], now: float) -> None:
+        self.fallbacks = {ip: until for ip, until in self.fallbacks.items() if not self.is_silent(ip, now)}
+        if now - max(self.fallback_chosen_at.values(), default=-inf) < FALLBACK_INTERVAL_S:
             return
-        taken = {*usual, *self.stand_ins}
-        left = [ip for ip in self.order(zones) if ip not in taken and not self.silent(ip, now)]
-        if left:
-            another = min(left, key=lambda ip: self.tried.get(ip, -inf))  # of equals the nearest
-            self.tried[another] = now
-            self.stand_ins[another] = now + STAND_IN_KEPT
+        in_use = {*defaults, *self.fallbacks}
+        candidates = [ip for ip in self.by_distance(zones) if ip not in in_use and not self.is_silent(ip, now)]
+        if candidates:
+            fallback = min(candidates, key=lambda ip: self.fallback_chosen_at.get(ip, -inf))  # ties: the nearest
+            self.fallback_chosen_at[fallback] = now
+            self.fallbacks[fallback] = now + FALLBACK_RETENTION_S
--- a/fennelpoint/system/proxy/core_session.py
+++ b/fennelpoint/system/proxy/core_session.py
@@ -1,7 +1,8 @@
-"""The decider of a front's ties to the core: its lease, what it was told, and by whom.
+"""The state machine of a proxy's session with the core: its lease, its configuration revision and its grant.
 
-The lease is counted on this machine's steady clock from the sending of the ask.  It is extended only once what was
-newest at the ask is in force here: so a front that can't hear stops before a bound of the rules ends.
+The lease runs on this machine's monotonic clock, from the moment at which its request was sent.  It is extended only
+once the configuration that was newest at that moment is applied here, so a proxy that cannot receive messages stops
+serving before a bound of the rules is exceeded.
 """
 
 from __future__ import annotations
@@ -14,258 +15,281 @@
 from fennelpoint.system.mesh import ip_of, name
 from fennelpoint.system.proxy.config_fetch import ContentRequests
 from fennelpoint.system.proxy.core_choice import CoreChoice
-from fennelpoint.system.proxy.session_actions import Apply, Extend, Hold, Lend, Parts, Refresh, Units
+from fennelpoint.system.proxy.session_actions import (
+    ApplyConfig,
+    GrantChanged,
+    GrantExtended,
+    LeaseChanged,
+    ProxyGrant,
+    RefreshBackends,
+    UnitsReceived,
+)
 from fennelpoint.system.registry.backend_table import Backends, Told
 from fennelpoint.system.registry.grants import DRAW_LIFE, GRANT_LIFE
 from fennelpoint.system.rendezvous_hashing import preference
 from fennelpoint.system.settings import Bounds
 
-RENEW = 0.5         # s between asks
-PATIENCE = 0.4      # s without an answer after which another core machine is asked, too
-CUT, HELPERS = 0.9, 2   # s without an answer after which other fronts are asked to pass words on; how many
-NEXT_SEED = 0.15    # s without the core's members after which one more seed is dialled
+RENEWAL_INTERVAL_S = 0.5
+HEDGE_AFTER_S = 0.4     # without an answer, the request also goes to another core machine
+CUT_OFF_AFTER_S, RELAYS = 0.9, 2    # without an answer, this many other proxies are asked to relay messages
+NEXT_SEED_AFTER_S = 0.15    # one more seed is dialled while the core's members are unknown
 
 
 @dataclass(slots=True)
 class CoreSession:
-    """What one front holds."""
+    """The session state of one proxy; each event returns the actions for the program to carry out.
 
-    me: str
+    Moments are seconds on the monotonic clock.
+    """
+
+    own_ip: str
     zone: str
     region: str
     regions: dict[str, str]
     seeds: list[str]
-    about: dict             # what each ask tells of us: address, zone, region, life
-    born: float
-    lease_s: float = Bounds().lease_s   # that a lease lasts, from the sending of its ask
+    registration: dict      # sent to core machines: address, zone, region, life (the incarnation)
+    started_at: float
+    lease_s: float = Bounds().lease_s   # counted from the sending of the request
     backends: Backends = field(default_factory=Backends)
-    rev: int = -1
-    version: int = 0
-    digest: str = ""
-    evac: frozenset = frozenset()
-    core: dict[str, str] = field(default_factory=dict)  # zones by IP address
-    core_rev: int = -1      # of the value that names them
-    applied: str = ""       # digest of the configuration in force here
-    goes_by: int = 0        # its version
-    proven_at: float = -1e9     # when the newest ask was sent that proved what is in force here to be the newest
-    until: float = 0.0      # end of the lease
-    held: bool = False
-    ready: bool = False
-    parts: Parts = field(default_factory=Parts)
-    fence: list = field(default_factory=lambda: [0, ""])   # the newest term that we told what we hold
-    lent: bool = False      # the parts are in force
-    holds: bool = False     # whoever reckons has to be told what we hold
-    asked: Callable[[], dict[str, int]] = dict    # what was asked here by tenant, since it was last taken
-    number: int = 0         # of the list's newest change that was heard
-    lists: set[str] = field(default_factory=set)    # core machines whose whole list came
-    up: set[str] = field(default_factory=set)
-    others: list[str] = field(default_factory=list)     # fronts that are ready, by IP address
-    helper: str = ""        # who passes our words on
-    helper_at: float = -1e9
-    turn: int = 0
-    asked_at: float = -1e9
-    answered_at: float = -1e9
-    helped: bool = False    # the second one was asked, too
-    helped_at: float = -1e9
-    direct_at: float = -1e9     # when a core machine last answered without a helper
-    seen: bool = False      # we have held a lease
-    cut: bool = False       # no core machine answers
-    numbers: int = 0        # of the newest of our asks and draws
-    asks: dict[int, float] = field(default_factory=dict)    # those whose answers count, and when each was sent
-    pending: dict[str, list[float]] = field(default_factory=dict)   # sendings of asks whose content is awaited
-    requests: ContentRequests = field(default_factory=ContentRequests)
-    out: list = field(default_factory=list)
+    revision: int = -1
+    latest_version: int = 0
+    latest_digest: str = ""
+    evacuated_zones: frozenset = frozenset()
+    core_zones: dict[str, str] = field(default_factory=dict)    # zone by IP address of each core machine
+    core_revision: int = -1     # revision of `core_zones`
+    applied_digest: str = ""    # of the configuration in force here
+    applied_version: int = 0
+    confirmed_at: float = -1e9  # when the newest request was sent that confirmed the applied configuration as newest
+    lease_expires_at: float = 0.0
+    has_lease: bool = False
+    is_ready: bool = False
+    grant: ProxyGrant = field(default_factory=ProxyGrant)
+    fencing_term: list = field(default_factory=lambda: [0, ""])     # newest allocator term to which we reported
+    has_grant: bool = False     # the grant is in force
+    must_report_grant: bool = False     # the allocator has to be sent the grant that this proxy holds
+    take_request_counts: Callable[[], dict[str, int]] = dict    # requests by tenant since the last call
+    list_change: int = 0    # number of the last change of the backend list that was received
+    full_list_sources: set[str] = field(default_factory=set)    # core machines that sent their full list
+    connected: set[str] = field(default_factory=set)    # names of core machines
+    other_proxies: list[str] = field(default_factory=list)  # IP addresses of those that are ready
+    relay: str = ""         # name of the proxy that relays messages to the core
+    relay_chosen_at: float = -1e9
+    relay_offset: int = 0
+    renewal_sent_at: float = -1e9
+    answered_at: float = -1e9   # when the newest request that was answered was sent
+    has_hedged: bool = False    # the latest renewal also went to further core machines
+    relay_renewal_at: float = -1e9
+    direct_answer_at: float = -1e9  # when a core machine last answered without a relay
+    had_lease: bool = False     # a lease was held at some time since the start
+    is_cut_off: bool = False    # no core machine answers
+    last_request_number: int = 0    # shared by renewals and requests for units
+    requests: dict[int, float] = field(default_factory=dict)    # sending times of requests whose answers still count
+    awaiting_content: dict[str, list[float]] = field(default_factory=dict)  # sending times of requests, by digest
+    content_requests: ContentRequests = field(default_factory=ContentRequests)
+    actions: list = field(default_factory=list)
     choice: CoreChoice = field(init=False)
 
     def __post_init__(self) -> None:
-        self.choice = CoreChoice(self.me, self.zone, self.region, self.regions)
-        self.numbers = first_number(self.about.get("life", 0))
+        self.choice = CoreChoice(self.own_ip, self.zone, self.region, self.regions)
+        self.last_request_number = first_number(self.registration.get("life", 0))
 
-    def _number(self, now: float) -> int:
-        """The number of an ask or a draw that is sent now."""
-        while self.asks and now - next(iter(self.asks.values())) > max(GRANT_LIFE, self.lease_s):
-            del self.asks[next(iter(self.asks))]
-        self.numbers += 1
-        self.asks[self.numbers] = now
-        return self.numbers
+    def _next_request_number(self, now: float) -> int:
+        """Register a request that is sent now and return its number."""
+        while self.requests and now - next(iter(self.requests.values())) > max(GRANT_LIFE, self.lease_s):
+            del self.requests[next(iter(self.requests))]
+        self.last_request_number += 1
+        self.requests[self.last_request_number] = now
+        return self.last_request_number
 
-    # Whom to hear
+    # Choice of peers
 
     @property
     def _zones(self) -> dict[str, str]:
-        """Zones of the core machines that are known, and of the seeds."""
-        return dict.fromkeys(self.seeds, "") | self.core
+        """Zones by IP address of the known core machines and of the seeds, whose zones are unknown."""
+        return dict.fromkeys(self.seeds, "") | self.core_zones
 
-    def order(self) -> list[str]:
-        """Core machines, the nearest first; the seeds, while nothing is known."""
-        return self.choice.order(self._zones)
+    def by_distance(self) -> list[str]:
+        """IP addresses of core machines, nearest first; the seeds while no core machine is known."""
+        return self.choice.by_distance(self._zones)
 
     def peers(self, now: float) -> set[str]:
-        """Those to hold connections to.
+        """Names of the peers to keep connections to.
 
-        While no core machine is known, one seed after the other: hundreds of fronts may start together.
+        While no core machine is known, the seeds are added one by one, since hundreds of proxies may start together.
         """
-        if self.core:
-            held = self.choice.held(self._zones)
+        if self.core_zones:
+            targets = self.choice.connection_targets(self._zones)
         else:
-            held = self.order()[:1 + int((now - self.born) / NEXT_SEED)]
-        return {name("roll", ip) for ip in held} | self.helping()
+            targets = self.by_distance()[:1 + int((now - self.started_at) / NEXT_SEED_AFTER_S)]
+        return {name("roll", ip) for ip in targets} | self.relay_candidates()
 
-    def _reached(self, now: float) -> list[str]:
-        """Core machines that are connected, those that answer first."""
-        return [p for p in (name("roll", ip) for ip in self.choice.by_answers(self._zones, now)) if p in self.up]
+    def _connected_core(self, now: float) -> list[str]:
+        """Names of connected core machines, the silent ones last."""
+        return [p for p in (name("roll", ip) for ip in self.choice.by_responsiveness(self._zones, now))
+                if p in self.connected]
 
-    def helping(self) -> set[str]:
-        """Other fronts, while no core machine is heard: some of them may still reach one."""
-        if not self.cut or not self.others:
+    def relay_candidates(self) -> set[str]:
+        """Other proxies to connect to while no core machine answers: some of them may still reach one."""
+        if not self.is_cut_off or not self.other_proxies:
             return set()
-        # A ring of our own: fronts that are cut off together would all ask the same few, or one another.
-        ring = sorted((ip for ip in self.others if ip != self.me), key=lambda ip: preference(self.me, ip))
-        return {name("span", ring[(self.turn + i) % len(ring)]) for i in range(min(HELPERS, len(ring)))}
-
-    def holding(self, now: float) -> list | None:
-        """What we hold by the word of a reckoner before, for the one that has begun: whose term fences it, s left."""
-        parts = self.parts
-        if not self.holds or not parts.number:
+        # Each proxy has its own order: else proxies that are cut off together would ask the same few, or each other.
+        ring = sorted((ip for ip in self.other_proxies if ip != self.own_ip),
+                      key=lambda ip: preference(self.own_ip, ip))
+        return {name("span", ring[(self.relay_offset + i) % len(ring)]) for i in range(min(RELAYS, len(ring)))}
+
+    def grant_to_report(self, now: float) -> list | None:
+        """The grant of an earlier allocator, for the new one: its figures, the fencing term and the seconds left."""
+        grant = self.grant
+        if not self.must_report_grant or not grant.number:
             return None
-        return [parts.quotas, parts.cold, parts.slack, self.fence, max(0.0, parts.until - now)]
+        return [grant.quotas, grant.cold_rates, grant.slack, self.fencing_term, max(0.0, grant.expires_at - now)]
 
     # Events
 
-    def linked(self, peer: str, up: bool, now: float) -> list:
+    def handle_connection(self, peer: str, is_up: bool, now: float) -> list:
+        """A connection to a core machine or to another proxy was established or lost."""
         if peer.startswith("span@"):
-            if up and self.cut and peer in self.helping() and not self.helper:
-                self._by(peer, now)
-            elif not up and peer == self.helper:
-                self.helper = ""
-            return self._done()
-        if up:
-            self.up.add(peer)
-            self._send(peer, ["front", self.about, self._known(now)])
-            if now - self.answered_at > PATIENCE:
-                self._ask([peer], now)
+            if is_up and self.is_cut_off and peer in self.relay_candidates() and not self.relay:
+                self._use_relay(peer, now)
+            elif not is_up and peer == self.relay:
+                self.relay = ""
+            return self._take_actions()
+        if is_up:
+            self.connected.add(peer)
+            self._send(peer, ["front", self.registration, self._backend_list(now)])
+            if now - self.answered_at > HEDGE_AFTER_S:
+                self._request_renewal([peer], now)
         else:
-            self.up.discard(peer)
-            self.lists.discard(peer)
-        return self._done()
+            self.connected.discard(peer)
+            self.full_list_sources.discard(peer)
+        return self._take_actions()
 
-    def heard(self, peer: str, message: list, now: float) -> list:
+    def handle_message(self, peer: str, message: list, now: float) -> list:
+        """Dispatch a message to the `_on_<kind>` method of its kind; unknown kinds are ignored."""
         kind, *rest = message
-        do = getattr(self, f"_on_{kind}", None)
-        if do is not None:
-            do(peer, now, *rest)
-        return self._done()
-
-    def _by(self, peer: str, now: float) -> None:
-        """Speak to the core by way of another front from now on."""
-        self.helper, self.helper_at = peer, now
-        self._send(peer, ["pass", ["front", self.about, self._known(now)]])
-        self._ask_by_helper(now)
-
-    def _known(self, now: float) -> list:
-        """The list as it is here, and which of them count as lost."""
+        handler = getattr(self, f"_on_{kind}", None)
+        if handler is not None:
+            handler(peer, now, *rest)
+        return self._take_actions()
+
+    def _use_relay(self, peer: str, now: float) -> None:
+        """Send messages to the core through another proxy from now on."""
+        self.relay, self.relay_chosen_at = peer, now
+        self._send(peer, ["pass", ["front", self.registration, self._backend_list(now)]])
+        self._renew_via_relay(now)
+
+    def _backend_list(self, now: float) -> list:
+        """The packed backend list of this proxy, with each backend's `lost` flag."""
         return [[*b.now(now).pack(), b.lost] for b in self.backends.known.values()]
 
-    def _ask_by_helper(self, now: float) -> None:
-        self._send(self.helper, ["pass", ["ask", self._number(now), self.ready, self.number, self._wants(now),
-                                          self.goes_by]])
+    def _renew_via_relay(self, now: float) -> None:
+        self._send(self.relay, ["pass", ["ask", self._next_request_number(now), self.is_ready, self.list_change,
+                                         self._grant_request(now), self.applied_version]])
 
-    def _wants(self, now: float) -> list:
-        """Of parts: which we go by, what was asked here, and to a reckoner that asked for it what they are."""
-        return [[self.parts.term, self.parts.number], self.asked(), self.holding(now)]
+    def _grant_request(self, now: float) -> list:
+        """The grant in use, the demand by tenant, and the grant's content if a new allocator asked for it."""
+        return [[self.grant.term, self.grant.number], self.take_request_counts(), self.grant_to_report(now)]
 
     def _on_pass(self, peer: str, now: float, message: list) -> None:
-        """Another front asks us to pass a word on: we add no trust, as it carries its own number."""
-        reached = self._reached(now)
-        if reached and not self.cut and message[0] in ("front", "ask", "need", "draw"):
-            self._send(reached[0], ["pass", ip_of(peer), message])
+        """Relay a message for another proxy.
+
+        That needs no trust in the relay, as the message carries the request number of its sender.
+        """
+        connected = self._connected_core(now)
+        if connected and not self.is_cut_off and message[0] in ("front", "ask", "need", "draw"):
+            self._send(connected[0], ["pass", ip_of(peer), message])
 
     def _on_passed(self, peer: str, now: float, ip: str, message: list) -> None:
-        """A core machine's word: for us by way of `peer`, or for another front by way of us."""
-        if ip != self.me:
+        """A relayed message of a core machine: to this proxy through `peer`, or to another one through this."""
+        if ip != self.own_ip:
             return self._send(name("span", ip), ["passed", ip, message])
-        if peer == self.helper:
-            self.out += self.heard(peer, message, now) if message[0] != "passed" else []
+        if peer == self.relay:
+            self.actions += self.handle_message(peer, message, now) if message[0] != "passed" else []
 
     def tick(self, now: float) -> list:
-        self.cut = self.seen and now - self.direct_at > CUT
-        if not self.cut:
-            self.helper = ""
-        if self.helper and now - self.answered_at > 2.0 * CUT and now - self.helper_at > CUT:
-            self.helper, self.turn = "", self.turn + HELPERS
-        if self.helper and now - self.helped_at >= RENEW:
-            self.helped_at = now
-            self._ask_by_helper(now)
-        if self.core:
-            self.choice.renew(self._zones, {ip_of(peer) for peer in self.up}, now)
-        reached = self._reached(now)
-        if now - self.asked_at >= RENEW and reached:
-            self._ask(reached[:1], now)
-            self._probe([peer for peer in reached[1:] if self.choice.silent(ip_of(peer), now)], now)
-            self.helped = False
-        elif not self.helped and len(reached) > 1 and self.answered_at < self.asked_at < now - PATIENCE:
-            self.helped = True
-            self._ask(reached[1:], now, again=True)
-        if self.pending and self.requests.due(now):
-            self._want(now)
-        if self.lent and now >= self.parts.until:
-            self.lent = False
-            self.parts = Parts(self.parts.term)
-            self.out.append(Lend())
-        if self.held and now >= self.until:
-            self.held = False
-            self.out.append(Hold(False, self._why_lapsed(now)))
-        return self._done()
-
-    def _why_lapsed(self, now: float) -> str:
-        """Tells a core that is not heard from one that is, but whose newest configuration did not come."""
-        last = f"the last ask that was answered is {now - self.answered_at:.2f} s old"
-        if self.pending:
-            return f"version {self.version} has not come, {last}"
-        return f"no core machine answers, {last}"
-
-    def draw(self, needs: dict[str, int], now: float) -> list:
-        """Ask for units of tenants that have no part here."""
-        if self.helper and self.cut:
-            self._send(self.helper, ["pass", ["draw", self._number(now), needs]])
-        elif reached := self._reached(now):
-            self._send(reached[0], ["draw", self._number(now), needs])
-        return self._done()
-
-    def _on_units(self, peer: str, now: float, number: int, term: list, given: dict, denied: dict,
-                  soon: list) -> None:
-        """Units of the pool, for a draw of ours; one that is answered twice brings them once."""
-        if (sent := self.asks.pop(number, None)) is not None and tuple(term) >= tuple(self.fence):
-            self.out.append(Units(given, denied, soon, sent + DRAW_LIFE))
-
-    def say(self, now: float) -> list:
-        """Tell at once that something of ours has changed."""
-        self._ask(self._reached(now)[:2], now)
-        return self._done()
-
-    def _done(self) -> list:
-        out, self.out = self.out, []
-        return out
+        """Run what is due: renewals, hedged requests, content requests, and the ends of the grant and the lease."""
+        self.is_cut_off = self.had_lease and now - self.direct_answer_at > CUT_OFF_AFTER_S
+        if not self.is_cut_off:
+            self.relay = ""
+        if (self.relay and now - self.answered_at > 2.0 * CUT_OFF_AFTER_S
+                and now - self.relay_chosen_at > CUT_OFF_AFTER_S):
+            self.relay, self.relay_offset = "", self.relay_offset + RELAYS
+        if self.relay and now - self.relay_renewal_at >= RENEWAL_INTERVAL_S:
+            self.relay_renewal_at = now
+            self._renew_via_relay(now)
+        if self.core_zones:
+            self.choice.update_fallbacks(self._zones, {ip_of(peer) for peer in self.connected}, now)
+        connected = self._connected_core(now)
+        if now - self.renewal_sent_at >= RENEWAL_INTERVAL_S and connected:
+            self._request_renewal(connected[:1], now)
+            self._probe([peer for peer in connected[1:] if self.choice.is_silent(ip_of(peer), now)], now)
+            self.has_hedged = False
+        elif (not self.has_hedged and len(connected) > 1
+              and self.answered_at < self.renewal_sent_at < now - HEDGE_AFTER_S):
+            self.has_hedged = True
+            self._request_renewal(connected[1:], now, is_hedge=True)
+        if self.awaiting_content and self.content_requests.is_due(now):
+            self._request_content(now)
+        if self.has_grant and now >= self.grant.expires_at:
+            self.has_grant = False
+            self.grant = ProxyGrant(self.grant.term)
+            self.actions.append(GrantChanged())
+        if self.has_lease and now >= self.lease_expires_at:
+            self.has_lease = False
+            self.actions.append(LeaseChanged(False, self._lapse_reason(now)))
+        return self._take_actions()
+
+    def _lapse_reason(self, now: float) -> str:
+        """Distinguishes an unreachable core from one that answers while its newest configuration has not arrived."""
+        last = f"the last answered renewal was sent {now - self.answered_at:.2f} s ago"
+        if self.awaiting_content:
+            return f"configuration version {self.latest_version} has not arrived; {last}"
+        return f"no core machine answers; {last}"
+
+    def request_units(self, needs: dict[str, int], now: float) -> list:
+        """Request units of pooled quotas, by tenant."""
+        if self.relay and self.is_cut_off:
+            self._send(self.relay, ["pass", ["draw", self._next_request_number(now), needs]])
+        elif connected := self._connected_core(now):
+            self._send(connected[0], ["draw", self._next_request_number(now), needs])
+        return self._take_actions()
+
+    def _on_units(self, peer: str, now: float, number: int, term: list, granted: dict, denied: dict,
+                  briefly_short: list) -> None:
+        """Units of pooled quotas; a duplicate answer to a request is ignored."""
+        if (sent_at := self.requests.pop(number, None)) is not None and tuple(term) >= tuple(self.fencing_term):
+            self.actions.append(UnitsReceived(granted, denied, briefly_short, sent_at + DRAW_LIFE))
+
+    def renew_now(self, now: float) -> list:
+        """Send a renewal at once, as the state that it reports has changed."""
+        self._request_renewal(self._connected_core(now)[:2], now)
+        return self._take_actions()
+
+    def _take_actions(self) -> list:
+        actions, self.actions = self.actions, []
+        return actions
 
     def _send(self, to: str, message: list) -> None:
-        self.out.append(Send(to, message))
+        self.actions.append(Send(to, message))
 
-    def _ask(self, peers: list[str], now: float, again: bool = False) -> None:
-        if not again:
-            self.asked_at = now
-        number, want = self._number(now), self._wants(now)
+    def _request_renewal(self, peers: list[str], now: float, is_hedge: bool = False) -> None:
+        if not is_hedge:
+            self.renewal_sent_at = now
+        number, grant_request = self._next_request_number(now), self._grant_request(now)
         for i, peer in enumerate(peers):
-            self.choice.asked(ip_of(peer), now)
-            self._send(peer, ["ask", number, self.ready, self.number, want if i == 0 else [], self.goes_by])
+            self.choice.note_request(ip_of(peer), now)
+            self._send(peer, ["ask", number, self.is_ready, self.list_change, grant_request if i == 0 else [],
+                              self.applied_version])
 
     def _probe(self, peers: list[str], now: float) -> None:
-        """Ask silent core machines, too: one that answers again is turned to again."""
+        """Send renewals to silent core machines, too, so that one that answers again is used again."""
         for peer in peers:
-            self._send(peer, ["ask", self._number(now), self.ready, self.number, [], self.goes_by])
+            self._send(peer, ["ask", self._next_request_number(now), self.is_ready, self.list_change, [],
+                              self.applied_version])
 
-    # What is told
+    # Messages of core machines
 
-    def _on_list(self, peer: str, now: float, life: int, number: int, items: list, whole: bool) -> None:
+    def _on_list(self, peer: str, now: float, life: int, number: int, items: list, is_full: bool) -> None:
         changed = False
         for *item, lost in items:
             told = Told(*item)
@@ -273,118 +297,122 @@
             b = self.backends.known[told.id]
             if lost is not None and b.lost is not lost and told.age < 3600 and (lost is False or now - b.heard > 2.0):
                 b.lost, changed = lost, True
-        self.number = number
-        if whole:
-            self.lists.add(peer)
-        if changed or whole:
-            self.out.append(Refresh())
+        self.list_change = number
+        if is_full:
+            self.full_list_sources.add(peer)
+        if changed or is_full:
+            self.actions.append(RefreshBackends())
 
-    def _on_fronts(self, peer: str, now: float, fronts: list) -> None:
-        self.others = fronts
+    def _on_fronts(self, peer: str, now: float, proxies: list) -> None:
+        self.other_proxies = proxies
 
     def _on_who(self, peer: str, now: float) -> None:
-        """A core machine does not know us yet, or any more."""
-        front = ["front", self.about, self._known(now)]
-        self._send(peer, ["pass", front] if peer == self.helper else front)
+        """A core machine does not know this proxy yet, or has forgotten it."""
+        registration = ["front", self.registration, self._backend_list(now)]
+        self._send(peer, ["pass", registration] if peer == self.relay else registration)
 
-    def _on_core(self, peer: str, now: float, core: dict, rev: int) -> None:
-        """Guards against the members of long ago, told by a machine that is cut off."""
-        if rev >= self.core_rev:
-            self.core, self.core_rev = core, rev
+    def _on_core(self, peer: str, now: float, zones: dict, revision: int) -> None:
+        """Guards against an outdated member list from a core machine that is cut off."""
+        if revision >= self.core_revision:
+            self.core_zones, self.core_revision = zones, revision
 
     def _on_tell(self, peer: str, now: float, term: list) -> None:
-        """Who reckons has just begun: it has to hear what we hold, and no word of those before counts any more."""
-        if tuple(term) >= max(tuple(self.parts.term), tuple(self.fence)):
-            self.holds, self.fence = True, term
-            if not self.parts.number:
-                self.parts.term = term
-            if peer == self.helper:
-                self._ask_by_helper(now)
+        """A new allocator has taken over: it needs the current grant, and messages of earlier terms are void."""
+        if tuple(term) >= max(tuple(self.grant.term), tuple(self.fencing_term)):
+            self.must_report_grant, self.fencing_term = True, term
+            if not self.grant.number:
+                self.grant.term = term
+            if peer == self.relay:
+                self._renew_via_relay(now)
             else:
-                self._ask([peer], now)
+                self._request_renewal([peer], now)
 
-    def _on_lend(self, peer: str, now: float, ask: int, term: list, number: int, parts: list | None) -> None:
-        """Parts, by that ask of ours; none: those that we go by are ours for longer."""
-        if (sent := self.asks.get(ask)) is None:
+    def _on_lend(self, peer: str, now: float, request: int, term: list, number: int, shares: list | None) -> None:
+        """A grant for that request; without `shares` the current grant is extended."""
+        if (sent_at := self.requests.get(request)) is None:
             return
-        ours = (tuple(self.parts.term), self.parts.number)
-        said = (tuple(term), number)
-        if tuple(term) < tuple(self.fence) or said < ours or parts is None and said != ours:
+        current = (tuple(self.grant.term), self.grant.number)
+        received = (tuple(term), number)
+        if tuple(term) < tuple(self.fencing_term) or received < current or shares is None and received != current:
             return
-        self.holds = False
-        if parts is None:
-            self.parts.until = max(self.parts.until, sent + GRANT_LIFE)
-            self.out.append(Extend())
+        self.must_report_grant = False
+        if shares is None:
+            self.grant.expires_at = max(self.grant.expires_at, sent_at + GRANT_LIFE)
+            self.actions.append(GrantExtended())
             return
-        quotas, cold, slack = parts
-        self.parts = Parts(term, number, quotas, cold, slack, sent + GRANT_LIFE)
-        self.lent = now < self.parts.until
-        self.out.append(Lend())
-
-    def _on_world(self, peer: str, now: float, rev: int, version: int, digest: str, evac: list, _: int) -> None:
-        self._newest(peer, rev, version, digest, evac, now)
-
-    def _newest(self, peer: str, rev: int, version: int, digest: str, evac: list, now: float) -> None:
-        if rev >= self.rev:
-            self.requests.named(peer, first=rev > self.rev)
-        if rev <= self.rev:
+        quotas, cold_rates, slack = shares
+        self.grant = ProxyGrant(term, number, quotas, cold_rates, slack, sent_at + GRANT_LIFE)
+        self.has_grant = now < self.grant.expires_at
+        self.actions.append(GrantChanged())
+
+    def _on_world(self, peer: str, now: float, revision: int, version: int, digest: str, evacuated: list,
+                  _: int) -> None:
+        self._learn_revision(peer, revision, version, digest, evacuated, now)
+
+    def _learn_revision(self, peer: str, revision: int, version: int, digest: str, evacuated: list,
+                        now: float) -> None:
+        if revision >= self.revision:
+            self.content_requests.note_announcement(peer, is_first=revision > self.revision)
+        if revision <= self.revision:
             return
-        self.rev, self.version, self.digest = rev, version, digest
-        if frozenset(evac) != self.evac:
-            self.evac = frozenset(evac)
-            self.out.append(Refresh())
-        if digest and digest != self.applied:
-            self.pending.setdefault(digest, [])
-            self._want(now)
-
-    def _want(self, now: float) -> None:
-        """Ask for the newest configuration."""
-        for peer in self.requests.whom(self.digest, self._reached(now), now):
-            self._send(peer, ["need", self.digest])
-        if self.helper:
-            self._send(self.helper, ["pass", ["need", self.digest]])
+        self.revision, self.latest_version, self.latest_digest = revision, version, digest
+        if frozenset(evacuated) != self.evacuated_zones:
+            self.evacuated_zones = frozenset(evacuated)
+            self.actions.append(RefreshBackends())
+        if digest and digest != self.applied_digest:
+            self.awaiting_content.setdefault(digest, [])
+            self._request_content(now)
+
+    def _request_content(self, now: float) -> None:
+        """Request the content of the newest configuration."""
+        for peer in self.content_requests.peers_to_ask(self.latest_digest, self._connected_core(now), now):
+            self._send(peer, ["need", self.latest_digest])
+        if self.relay:
+            self._send(self.relay, ["pass", ["need", self.latest_digest]])
 
     def _on_content(self, peer: str, now: float, digest: str, data: bytes) -> None:
-        if digest != self.digest or digest == self.applied:
+        if digest != self.latest_digest or digest == self.applied_digest:
             return
-        self.applied, self.goes_by = digest, self.version
-        self.out.append(Apply(self.version, data))
-        waits = self.pending.get(digest, [])
-        self.pending.clear()
-        self._extend(max(waits, default=self.proven_at), now)
-
-    def _on_lease(self, peer: str, now: float, ask: int, rev: int, version: int, digest: str,
-                  evac: list, term: int) -> None:
-        """The newest there was when we sent that ask.  Guards the lease: a former life's ask says nothing of now."""
-        if (sent := self.asks.get(ask)) is None:
+        self.applied_digest, self.applied_version = digest, self.latest_version
+        self.actions.append(ApplyConfig(self.latest_version, data))
+        sending_times = self.awaiting_content.get(digest, [])
+        self.awaiting_content.clear()
+        self._extend_lease(max(sending_times, default=self.confirmed_at), now)
+
+    def _on_lease(self, peer: str, now: float, request: int, revision: int, version: int, digest: str,
+                  evacuated: list, term: int) -> None:
+        """The newest revision at the time of that request.
+
+        Guards the lease: an answer to a request of an earlier incarnation says nothing about the present state.
+        """
+        if (sent_at := self.requests.get(request)) is None:
             return
-        if term > self.fence[0]:
-            # Guards parts: whoever reckons now may know of us by a former life of ours only.
-            self.fence = [term, ""]
-            if not self.seen and self.parts.number and self.parts.term[0] < term:
-                self.parts, self.lent = Parts(), False
-                self.out.append(Lend())
-        self.answered_at = max(self.answered_at, sent)
+        if term > self.fencing_term[0]:
+            # Guards the grant: the present allocator may know only an earlier incarnation of this proxy.
+            self.fencing_term = [term, ""]
+            if not self.had_lease and self.grant.number and self.grant.term[0] < term:
+                self.grant, self.has_grant = ProxyGrant(), False
+                self.actions.append(GrantChanged())
+        self.answered_at = max(self.answered_at, sent_at)
         if peer.startswith("roll@"):
-            self.direct_at = now
-            self.choice.answered(ip_of(peer), now)
-        self._newest(peer, rev, version, digest, evac, now)
-        if rev > self.rev or not self.digest:
+            self.direct_answer_at = now
+            self.choice.note_answer(ip_of(peer), now)
+        self._learn_revision(peer, revision, version, digest, evacuated, now)
+        if revision > self.revision or not self.latest_digest:
             return
-        if self.applied == self.digest:
-            self._extend(sent, now)
-        elif rev == self.rev:
-            self.pending.setdefault(self.digest, []).append(sent)
-
-    def _extend(self, sent: float, now: float) -> None:
-        """What is in force here was the newest when that ask was sent."""
-        self.proven_at = max(self.proven_at, sent)
-        self.until = max(self.until, self.proven_at + self.lease_s)
-        if not self.held and now < self.until and self.lists:
-            self.held = self.seen = True
-            self.out.append(Hold(True))
-
-    def allows(self, now: float) -> bool:
-        """Whether anything may be sent on."""
-        return self.held and now < self.until
-
+        if self.applied_digest == self.latest_digest:
+            self._extend_lease(sent_at, now)
+        elif revision == self.revision:
+            self.awaiting_content.setdefault(self.latest_digest, []).append(sent_at)
+
+    def _extend_lease(self, sent_at: float, now: float) -> None:
+        """The applied configuration was the newest one when the request of that time was sent."""
+        self.confirmed_at = max(self.confirmed_at, sent_at)
+        self.lease_expires_at = max(self.lease_expires_at, self.confirmed_at + self.lease_s)
+        if not self.has_lease and now < self.lease_expires_at and self.full_list_sources:
+            self.has_lease = self.had_lease = True
+            self.actions.append(LeaseChanged(True))
+
+    def has_valid_lease(self, now: float) -> bool:
+        """Whether requests may be forwarded now, even if the timer that ends the lease has not run yet."""
+        return self.has_lease and now < self.lease_expires_at
--- a/fennelpoint/system/proxy/events.py
+++ b/fennelpoint/system/proxy/events.py
@@ -1,6 +1,6 @@
-"""Events that the program tells the decider of a proxy beside those of the module, and the action that it adds.
+"""Events that the program posts to a proxy's controller besides those of the decision module, and one more action.
 
-Customers and plans are named by their numbers in the reader's table.  Times are seconds on the module's clock.
+Customers and plans are numbers in the reader's table.  Times are seconds on the controller's clock.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 from math import inf
 
 from fennelpoint import interface as api
-from fennelpoint.system.proxy.session_actions import Parts
+from fennelpoint.system.proxy.session_actions import ProxyGrant
 from fennelpoint.system.registry.grants import WHOLE
 
-SLACK_PART = 0.9  # of the retry rule's slack, used: the rest pays for rounding, and for delays on the way
+RETRY_SLACK_FRACTION = 0.9  # of the retry rule's slack that is used: the rest covers rounding and network delays
 
 
 @dataclass(slots=True)
 class Catalogue:
-    """Classes and plans from now on; what was there keeps its number."""
+    """The request classes and plans in force; earlier ones keep their numbers."""
 
     classes: list[api.RequestClass]
     plans: list[api.Plan]
@@ -26,27 +26,27 @@
 
 @dataclass(slots=True)
 class RetryRule:
-    """The operators' bound of retries: of a service's requests in a window of so many s, beside its slack."""
+    """The operators' bound on retries, besides its slack: a ratio of a service's requests in a window."""
 
     ratio: float
-    window: float
+    window_s: float
 
 
 @dataclass(slots=True)
 class LeasedShares:
-    """This proxy's share of each tenant's quota, by number; one that is not named has none."""
+    """This proxy's share of each customer's quota; a customer that is missing has none."""
 
     shares: dict[int, float]
-    slack: float  # retries that this proxy may send in a budget's window, beside those by its ratio
-    pooled: bool = False  # a tenant that is not named draws from its pool
-    until: float = inf  # when all of it ends, unless it is extended
+    slack: float  # retries that this proxy may send in a budget window, in addition to those by the ratio
+    has_pools: bool = False  # customers without a share draw on their pools
+    expires_at: float = inf  # of all shares, unless extended
 
 
 @dataclass(slots=True)
-class LeaseExtended:
-    """The shares as they are, for longer."""
+class SharesExtended:
+    """The present shares are valid for longer."""
 
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
@@ -59,28 +59,31 @@
 
 @dataclass(slots=True)
 class UnitsGranted:
-    """Units of the pool by customer, to be used until then, and those that were asked for and are not there."""
+    """Units of pools by customer, valid until `expires_at`, and requested units that are not available."""
 
     units: dict[int, float]
     denied: dict[int, float]
-    until: float
-    soon: Set[int] = frozenset()  # customers of these that are short for a moment only
+    expires_at: float
+    briefly_short: Set[int] = frozenset()  # customers in `denied` whose pool refills within moments
 
 
 @dataclass(slots=True)
-class BackendPlaces:
-    """Of each backend: how far it is, in s and in parts of a usual latency; how many it works on at once; until when
-    it is cold, and how many requests a second this proxy may send it then.  And how many proxies are likely to send
-    to it, too."""
+class BackendPlacement:
+    """What the choice of a backend needs, by backend.
 
-    far: dict[object, tuple[float, float]]
+    `distances` are network times, as seconds and as fractions of a typical latency; `slots` are concurrent requests;
+    `cold_limits` are the end of the cold start and the requests per second that this proxy may send until then.
+    `sharing_proxies` is how many proxies are likely to send to the same backend.
+    """
+
+    distances: dict[object, tuple[float, float]]
     slots: dict[object, int]
-    cold: dict[object, tuple[float, int]]
-    sharers: float = 1.0
+    cold_limits: dict[object, tuple[float, int]]
+    sharing_proxies: float = 1.0
 
 
-def leased_shares(parts: Parts, plans: dict[str, int], slack: float) -> LeasedShares:
-    """What a proxy may use by the parts that it holds; `plans` are numbers by tenant, `slack` is the retry rule's."""
-    shares = {plans[tenant]: part / WHOLE for tenant, part in parts.quotas.items() if tenant in plans}
-    until = parts.until if parts.number else inf  # without a grant there is nothing that could end
-    return LeasedShares(shares, SLACK_PART * slack * parts.slack / WHOLE, parts.number > 0, until)
+def leased_shares(grant: ProxyGrant, plans: dict[str, int], slack: float) -> LeasedShares:
+    """The shares of a grant; `plans` maps tenants to their numbers, `slack` is the retry rule's, for all proxies."""
+    shares = {plans[tenant]: part / WHOLE for tenant, part in grant.quotas.items() if tenant in plans}
+    expires_at = grant.expires_at if grant.number else inf  # without a grant nothing can expire
+    return LeasedShares(shares, RETRY_SLACK_FRACTION * slack * grant.slack / WHOLE, grant.number > 0, expires_at)
--- a/fennelpoint/system/proxy/fair_queueing.py
+++ b/fennelpoint/system/proxy/fair_queueing.py
@@ -1,74 +1,76 @@
-"""A floor for those who wait behind others: levels of worth that were long served far less often than all.
+"""Starvation guard of the queue: a level of worth that is served far less often than all requests goes first.
 
-Tries wait by their worth, which is their tenant's rank and their class's worth together.  That order is right for a
-moment; while an overload lasts it leaves the lowest levels nothing.  A level that was served less than `FLOOR` times
-as often as all goes first until it is not any more.  What happened counts half after `HALF` s, so that an overload
-of some seconds leaves the order as it is.
+Queued requests are ordered by worth, the product of their tenant's rank and their class's worth.  That order is right
+for a short time, but a lasting overload would starve the lowest levels.  A level that was served less than
+`MIN_RELATIVE_SHARE` times as often as all requests goes first until it no longer is.  Counts decay with a half-life
+of `HALF_LIFE_S`, so an overload of some seconds leaves the order unchanged.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-FLOOR = 0.35  # of the share of all that is served; operators ask for a quarter over a day
-HALF = 10.0  # s in which what happened counts half
-LEAST_COUNT = 6.0  # tries of a level, fading, below which its share says little
-MOST_LEVELS = 64  # kept; a configuration has ranks times classes of them
+MIN_RELATIVE_SHARE = 0.35  # of the share of all requests that is served; operators ask for a quarter over a day
+HALF_LIFE_S = 10.0
+MIN_REQUESTS = 6.0  # decayed count of a level below which its share is not significant
+MAX_LEVELS = 64  # a configuration has one for each pair of rank and class
 
 
 @dataclass(slots=True)
-class Served:
-    """How many tries came to an end in the line, fading: offered to a backend, or refused for want of one."""
+class ServiceCount:
+    """Decaying count of the requests that left the queue: offered to a backend, or refused for want of one."""
 
-    at: float
-    tries: float = 0.0
+    updated_at: float
+    requests: float = 0.0
     offered: float = 0.0
 
-    def fade(self, now: float) -> None:
-        keep = 0.5 ** ((now - self.at) / HALF)
-        self.at, self.tries, self.offered = now, self.tries * keep, self.offered * keep
+    def decay(self, now: float) -> None:
+        """Bring the counts up to date."""
+        factor = 0.5 ** ((now - self.updated_at) / HALF_LIFE_S)
+        self.updated_at, self.requests, self.offered = now, self.requests * factor, self.offered * factor
 
-    def add(self, offered: bool, now: float) -> None:
-        self.fade(now)
-        self.tries += 1.0
-        self.offered += offered
+    def record(self, is_offered: bool, now: float) -> None:
+        """Count one request."""
+        self.decay(now)
+        self.requests += 1.0
+        self.offered += is_offered
 
     @property
     def share(self) -> float:
-        """Of its tries that were offered to a backend; 1 where there are none."""
-        return self.offered / self.tries if self.tries else 1.0
+        """Share of the requests that were offered to a backend; 1 without requests."""
+        return self.offered / self.requests if self.requests else 1.0
 
 
 @dataclass(eq=False, slots=True)
 class FairOrder:
-    """Which levels of worth were served too seldom to wait behind the others."""
+    """Tells which levels of worth were served too seldom to queue behind the others."""
 
-    born: float
-    levels: dict[float, Served] = field(default_factory=dict)
-    all: Served = field(init=False)
+    started_at: float
+    levels: dict[float, ServiceCount] = field(default_factory=dict)
+    total: ServiceCount = field(init=False)
 
     def __post_init__(self) -> None:
-        self.all = Served(self.born)
+        self.total = ServiceCount(self.started_at)
 
-    def add(self, level: float, offered: bool, now: float) -> None:
-        """A try of that level was offered to a backend for the first time, or refused for want of one."""
+    def record(self, level: float, is_offered: bool, now: float) -> None:
+        """A request of that level was offered to a backend for the first time, or refused for want of one."""
         if level not in self.levels:
-            self._make_room(now)
-            self.levels[level] = Served(now)
-        self.levels[level].add(offered, now)
-        self.all.add(offered, now)
-
-    def starved(self, level: float, now: float) -> bool:
-        """Whether tries of that level go first for now."""
-        if (served := self.levels.get(level)) is None:
+            self._evict_level(now)
+            self.levels[level] = ServiceCount(now)
+        self.levels[level].record(is_offered, now)
+        self.total.record(is_offered, now)
+
+    def is_starved(self, level: float, now: float) -> bool:
+        """Whether requests of that level go first for now."""
+        if (count := self.levels.get(level)) is None:
             return False
-        served.fade(now)
-        return served.tries >= LEAST_COUNT and served.share < FLOOR * self.all.share
+        count.decay(now)
+        return count.requests >= MIN_REQUESTS and count.share < MIN_RELATIVE_SHARE * self.total.share
 
-    def _make_room(self, now: float) -> None:
-        """Forget the level that was least asked for, where there are too many."""
-        if len(self.levels) < MOST_LEVELS:
+    def _evict_level(self, now: float) -> None:
+        """Drop the level with the fewest requests if there are too many levels."""
+        if len(self.levels) < MAX_LEVELS:
             return
-        for served in self.levels.values():
-            served.fade(now)
-        del self.levels[min(self.levels, key=lambda level: self.levels[level].tries)]
+        for count in self.levels.values():
+            count.decay(now)
+        del self.levels[min(self.levels, key=lambda level: self.levels[level].requests)]
--- a/fennelpoint/system/proxy/leased_quotas.py
+++ b/fennelpoint/system/proxy/leased_quotas.py
@@ -1,4 +1,4 @@
-"""Admission by shares of quotas that the registry leases, and by units of a pool where shares are too thin."""
+"""Admission by quota shares that the registry leases, and by units of pools where shares would be too small."""
 
 from __future__ import annotations
 
@@ -13,151 +13,155 @@
 from fennelpoint.state import Customer, Try
 from fennelpoint.system.proxy.events import UnitsGranted
 
-FRESH = 1.0         # s of an own share that a process has saved up when it begins
-SILENT, TAKEOVER = 0.2, 1.9     # s without an answer after which nobody may allocate; s until another one does so
-DENIED, FORGET_NEED = 2.0, 5.0  # s that one counts as over its quota after a denial; that an ask is remembered
+STARTUP_CREDIT_S = 1.0  # of a share's rate, in the bucket when a process gets its first shares
+ALLOCATOR_SILENT_AFTER_S, TAKEOVER_S = 0.2, 1.9     # without an answer; until another machine allocates
+DENIAL_MEMORY_S, REQUEST_MEMORY_S = 2.0, 5.0    # how long a denial, and a request for units, is remembered
 
 
 class LeasedQuotas(Quotas):
-    """Quotas by the parts that the core lends: one that is not told is none."""
+    """Token buckets filled by the shares that the core leases; a customer without a share has none."""
 
     def __init__(self, ground: Ground) -> None:
         super().__init__(ground)
         self.shares: dict[int, float] = {}
-        self.leased = self.pools = False
-        self.lent = False       # something is lent now
-        self.unlent_since = ground.born
-        self.granted: dict[int, deque] = {}       # units of the pool, by customer: until when, and how many
-        self.needed: dict[int, float] = {}      # tries that units were asked for, and when
-        self.unanswered_since = inf     # when units were first asked for since the last answer
-        self.denied_at: dict[int, float] = {}   # when the pool last had none, by customer
-        self.soon: Set[int] = frozenset()       # who was denied for a moment only
-        self.raised_at: dict[int, float] = {}   # when the share of one that has asked for nothing yet last grew
-
-    def thin(self, c: Customer) -> bool:
-        """Whether it has no part of its own here: too many fronts share too little, and each try asks the pool."""
-        return self.pools and c.share == 0.0 and self.settings.plans[c.plan].rate > 0.0
-
-    def depth(self, c: Customer) -> float:
-        """A share saves one unit at least; what was saved by a share that is gone is gone with it."""
-        return super().depth(c) if c.share > 0.0 else 0.0
-
-    def pooled(self, key: int, now: float) -> float:
-        """Units of the pool that are here."""
-        held = self.granted.get(key)
-        while held and held[0][0] < now:
-            held.popleft()
-        return sum(units for _, units in held) if held else 0.0
-
-    def room(self, t: Try, now: float) -> bool:
-        if not self.thin(t.customer):
-            return super().room(t, now)
-        return t.inside is None and self.pooled(t.customer.key, now) >= t.ask.units
-
-    def take(self, t: Try, inside: bool, now: float) -> None:
-        super().take(t, inside, now)
-        self.needed.pop(t.ask.request, None)
-        left = t.ask.units if inside and self.thin(t.customer) else 0.0
-        held = self.granted.get(t.customer.key)
-        while left > 0.0 and held:
-            until, units = held.popleft()
+        self.had_shares = self.has_pools = False
+        self.has_lease = False
+        self.no_lease_since = ground.born
+        self.pool_units: dict[int, deque] = {}  # (expiry, units) of pooled quotas, by customer
+        self.requested_at: dict[int, float] = {}    # when units were requested, by request
+        self.unanswered_since = inf     # when units were first requested since the last answer
+        self.denied_at: dict[int, float] = {}   # when the pool last had no units left, by customer
+        self.briefly_short: Set[int] = frozenset()  # customers in the last denial whose pool refills within moments
+        self.share_raised_at: dict[int, float] = {}     # by customer; used where it has sent no request yet
+
+    def is_pooled(self, customer: Customer) -> bool:
+        """Whether a customer has no share here, as its quota is too small: each request draws on its pool."""
+        return self.has_pools and customer.share == 0.0 and self.settings.plans[customer.plan].rate > 0.0
+
+    def depth(self, customer: Customer) -> float:
+        """Bucket depth in units: at least one unit for a share; without a share what was saved is lost."""
+        return super().depth(customer) if customer.share > 0.0 else 0.0
+
+    def available_units(self, key: int, now: float) -> float:
+        """Units of the pool that this proxy holds for a customer."""
+        batches = self.pool_units.get(key)
+        while batches and batches[0][0] < now:
+            batches.popleft()
+        return sum(units for _, units in batches) if batches else 0.0
+
+    def room(self, pending: Try, now: float) -> bool:
+        if not self.is_pooled(pending.customer):
+            return super().room(pending, now)
+        return pending.inside is None and self.available_units(pending.customer.key, now) >= pending.ask.units
+
+    def take(self, pending: Try, inside: bool, now: float) -> None:
+        super().take(pending, inside, now)
+        self.requested_at.pop(pending.ask.request, None)
+        left = pending.ask.units if inside and self.is_pooled(pending.customer) else 0.0
+        batches = self.pool_units.get(pending.customer.key)
+        while left > 0.0 and batches:
+            expires_at, units = batches.popleft()
             if units > left:
-                held.appendleft((until, units - left))
+                batches.appendleft((expires_at, units - left))
             left -= units
 
-    def wait(self, t: Try, ahead: float, now: float) -> float:
-        return 0.0 if self.thin(t.customer) else super().wait(t, ahead, now)
+    def wait(self, pending: Try, ahead: float, now: float) -> float:
+        return 0.0 if self.is_pooled(pending.customer) else super().wait(pending, ahead, now)
 
-    def own_rate(self, c: Customer, now: float) -> float:
-        """Of one in the pool no front knows its part: it is over its quota where the pool has denied it lately."""
-        if not self.thin(c):
-            return super().own_rate(c, now)
-        return 0.0 if now - self.denied_at.get(c.key, -inf) < DENIED else self.settings.plans[c.plan].rate
+    def own_rate(self, customer: Customer, now: float) -> float:
+        """Units per second; of a pooled quota no proxy knows its share, so a recent denial counts as over quota."""
+        if not self.is_pooled(customer):
+            return super().own_rate(customer, now)
+        return (0.0 if now - self.denied_at.get(customer.key, -inf) < DENIAL_MEMORY_S
+                else self.settings.plans[customer.plan].rate)
 
-    def over(self, t: Try) -> bool:
-        """Whether it was refused because its tenant asks for more than its quota, as far as that is known."""
-        if not self.lent:
+    def is_over_quota(self, pending: Try) -> bool:
+        """Whether a request was refused because its tenant exceeds its quota, as far as this proxy can tell."""
+        if not self.has_lease:
             return False
-        if self.thin(t.customer):
-            return t.inside is False
-        return not t.charged and self.settings.plans[t.customer.plan].rate > 0.0 and t.customer.level < t.ask.units
-
-    def need(self, t: Try, now: float) -> bool:
-        """Whether units are to be asked for it: once."""
-        if t.charged or t.ask.request in self.needed or not self.thin(t.customer):
+        if self.is_pooled(pending.customer):
+            return pending.inside is False
+        return (not pending.charged and self.settings.plans[pending.customer.plan].rate > 0.0
+                and pending.customer.level < pending.ask.units)
+
+    def should_request_units(self, pending: Try, now: float) -> bool:
+        """Whether to request units of the pool for a request; true at most once, as the request is recorded."""
+        if pending.charged or pending.ask.request in self.requested_at or not self.is_pooled(pending.customer):
             return False
-        self.needed[t.ask.request] = now
-        long_ago = now - self.unanswered_since > FORGET_NEED    # a draw that was lost
-        self.unanswered_since = now if long_ago else min(self.unanswered_since, now)
-        while self.needed and now - next(iter(self.needed.values())) > FORGET_NEED:
-            del self.needed[next(iter(self.needed))]    # guards the memory: its client has gone
+        self.requested_at[pending.ask.request] = now
+        is_lost = now - self.unanswered_since > REQUEST_MEMORY_S
+        self.unanswered_since = now if is_lost else min(self.unanswered_since, now)
+        while self.requested_at and now - next(iter(self.requested_at.values())) > REQUEST_MEMORY_S:
+            del self.requested_at[next(iter(self.requested_at))]    # bounds the memory: the client has gone
         return True
 
-    def until_takeover(self, c: Customer, now: float) -> float:
-        """Seconds until there may be units for it, where nobody lends or answers for them; 0: that is not known."""
-        if self.settings.plans[c.plan].rate <= 0.0 or self.lent and not self.thin(c):
+    def seconds_until_takeover(self, customer: Customer, now: float) -> float:
+        """Seconds until another allocator may serve a customer; 0 if an allocator answers, or the time is unknown."""
+        if self.settings.plans[customer.plan].rate <= 0.0 or self.has_lease and not self.is_pooled(customer):
             return 0.0
-        silence = now - (self.unanswered_since if self.lent else self.unlent_since)
-        return max(0.0, TAKEOVER - silence) if silence > SILENT or not self.lent else 0.0
-
-    def unanswered(self, now: float) -> list[Try]:
-        """Tries that still wait for units which nobody answered for: a new allocator has not heard of them."""
-        waiting = [t for t in self.line.held.values() if now - self.needed.get(t.ask.request, now) > SILENT]
-        for t in waiting:
-            del self.needed[t.ask.request]
+        silence = now - (self.unanswered_since if self.has_lease else self.no_lease_since)
+        return max(0.0, TAKEOVER_S - silence) if silence > ALLOCATOR_SILENT_AFTER_S or not self.has_lease else 0.0
+
+    def pop_unanswered(self, now: float) -> list[Try]:
+        """Held requests whose request for units has no answer; it may be repeated, as a new allocator lacks it."""
+        waiting = [pending for pending in self.line.held.values()
+                   if now - self.requested_at.get(pending.ask.request, now) > ALLOCATOR_SILENT_AFTER_S]
+        for pending in waiting:
+            del self.requested_at[pending.ask.request]
         return waiting
 
-    def grant(self, event: UnitsGranted, now: float) -> list[Try]:
-        """Units have come; the tries for which there are none, the cheapest and latest ones."""
+    def add_units(self, event: UnitsGranted, now: float) -> list[Try]:
+        """Add units of the pool; returns the requests that were denied units, the cheapest and latest first."""
         self.unanswered_since = inf
         for key, units in event.units.items():
-            self.granted.setdefault(key, deque()).append((event.until, units))
-        out, self.soon = [], event.soon
+            self.pool_units.setdefault(key, deque()).append((event.expires_at, units))
+        out, self.briefly_short = [], event.briefly_short
         for key, units in event.denied.items():
-            if key not in event.soon:
+            if key not in event.briefly_short:
                 self.denied_at[key] = now
-            waiting = [t for t in self.line.held.values() if t.customer.key == key and t.ask.request in self.needed]
-            for t in sorted(waiting, key=lambda t: (t.worth, -t.ask.request)):
+            waiting = [pending for pending in self.line.held.values()
+                       if pending.customer.key == key and pending.ask.request in self.requested_at]
+            for pending in sorted(waiting, key=lambda pending: (pending.worth, -pending.ask.request)):
                 if units <= 0.0:
                     break
-                units, t.inside = units - t.ask.units, False
-                out.append(t)
+                units, pending.inside = units - pending.ask.units, False
+                out.append(pending)
         return out
 
-    def lease(self, shares: dict[int, float], pools: bool, now: float) -> None:
-        """What is taken back is gone at once; what is given fills with time."""
-        if self.lent and not shares and not pools:
-            self.unlent_since = now
-        self.lent = bool(shares) or pools
-        fresh = bool(shares) and not self.leased
+    def set_shares(self, shares: dict[int, float], has_pools: bool, now: float) -> None:
+        """Replace the shares, by customer: a smaller share takes effect at once, a larger one fills with time."""
+        if self.has_lease and not shares and not has_pools:
+            self.no_lease_since = now
+        self.has_lease = bool(shares) or has_pools
+        is_first = bool(shares) and not self.had_shares
         raised = {key for key, share in shares.items() if share > self.shares.get(key, 0.0)}
-        since = max(self.ground.born, now - FRESH) if fresh else now
-        self.raised_at = {key: since if key in raised else self.raised_at[key] for key in shares}
-        self.leased, self.shares, self.pools = self.leased or fresh, shares, pools
-        for c in self.customers.values():
-            if fresh:   # nobody else was lent our part while we started; a second of it at most
-                c.filled = since
+        since = max(self.ground.born, now - STARTUP_CREDIT_S) if is_first else now
+        self.share_raised_at = {key: since if key in raised else self.share_raised_at[key] for key in shares}
+        self.had_shares, self.shares, self.has_pools = self.had_shares or is_first, shares, has_pools
+        for customer in self.customers.values():
+            if is_first:    # no other proxy held this share while the process started; credit for 1 s at most
+                customer.filled = since
             else:
-                self.fill(c, now)
-            c.share = shares.get(c.key, 0.0)
-            c.level = min(c.level, self.depth(c))
-
-    def change(self, classes: list[api.RequestClass], plans: list[api.Plan], now: float) -> None:
-        """Other figures: what came in by now came by those before, and no store holds more than they allow."""
-        for c in self.customers.values():
-            self.fill(c, now)
+                self.fill(customer, now)
+            customer.share = shares.get(customer.key, 0.0)
+            customer.level = min(customer.level, self.depth(customer))
+
+    def update_plans(self, classes: list[api.RequestClass], plans: list[api.Plan], now: float) -> None:
+        """Replace classes and plans: buckets fill by the old rates until now, and are capped at the new depth."""
+        for customer in self.customers.values():
+            self.fill(customer, now)
         self.ground.settings = replace(self.settings, classes=classes, plans=plans)
         self.odds = [[EVEN] * len(classes) for _ in plans]
-        for c in self.customers.values():
-            c.level = min(c.level, self.depth(c))
+        for customer in self.customers.values():
+            customer.level = min(customer.level, self.depth(customer))
 
     def customer(self, ask: api.Request, now: float) -> Customer:
-        if (c := self.customers.pop(ask.customer, None)) is None:
+        if (customer := self.customers.pop(ask.customer, None)) is None:
             plan, share = self.settings.plans[ask.plan], self.shares.get(ask.customer, 0.0)
-            # Guards the sum over a restart, and over shares that move: what others took by this share before is not
-            # known, so it starts with what came in since it came here.
-            since = self.raised_at.get(ask.customer, now)
-            c = Customer(ask.customer, ask.plan, 1.0, share, 0.0, store=plan.burst, filled=since,
-                         total_at=now, count_at=inf)
-        self.customers[ask.customer], c.seen, c.plan = c, now, ask.plan
-        return c
+            # Guards the total over restarts and over shares that move: what other proxies took by this share before
+            # is unknown, so the bucket starts with what has flowed in since the share came to this proxy.
+            since = self.share_raised_at.get(ask.customer, now)
+            customer = Customer(ask.customer, ask.plan, 1.0, share, 0.0, store=plan.burst, filled=since,
+                                total_at=now, count_at=inf)
+        self.customers[ask.customer], customer.seen, customer.plan = customer, now, ask.plan
+        return customer
--- a/fennelpoint/system/proxy/placement.py
+++ b/fennelpoint/system/proxy/placement.py
@@ -1,4 +1,4 @@
-"""The choice of a backend: the least expected time till the answer, distance included, among those with a slot."""
+"""The choice of a backend: the least expected time to the answer, network distance included."""
 
 from __future__ import annotations
 
@@ -10,71 +10,75 @@
 from fennelpoint.cells.cell_controller import Confined
 from fennelpoint.selection import FIRST_GUESS
 from fennelpoint.state import Backend, Crowd, Try
-from fennelpoint.system.proxy.events import BackendPlaces
+from fennelpoint.system.proxy.events import BackendPlacement
 
-QUEUE = 1.0  # of a backend's slots, own attempts out beyond them
-SECOND = 1.02  # s in which a cold backend's requests are counted, with what timers and clocks are off
-WINDOW_LEAST = 2.0  # attempts out that a service's window always allows
-NOISE = 0.15  # of a usual latency, that a choice varies by chance: proxies don't see each other's requests
+QUEUED_PER_SLOT = 1.0  # own attempts in flight beyond a backend's slots
+RATE_WINDOW_S = 1.02  # in which requests to a backend in cold start are counted: 1 s, and the error of timers
+MIN_WINDOW = 2.0  # attempts in flight that a service's window always allows
+LATENCY_JITTER = 0.15  # of a usual latency, random in each choice: proxies do not see each other's requests
 
 
 class NearestBackend(Confined):
-    """The least expected time till the answer, distance included, among backends with a slot."""
+    """Chooses the backend with the least expected time to the answer among those with a free slot."""
 
     def __init__(self, ground: Ground) -> None:
         super().__init__(ground)
-        self.places = BackendPlaces({}, {}, {})
-        self.sent_cold: dict[object, deque] = {}  # when tries were sent to a cold backend
+        self.placement = BackendPlacement({}, {}, {})
+        self.cold_sent_at: dict[object, deque] = {}  # times of the attempts sent, by backend in cold start
 
-    def take(self, event: BackendPlaces) -> None:
-        self.places = event
-        self.sent_cold = {key: sent for key, sent in self.sent_cold.items() if key in event.slots}
+    def update_placement(self, event: BackendPlacement) -> None:
+        self.placement = event
+        self.cold_sent_at = {key: times for key, times in self.cold_sent_at.items() if key in event.slots}
 
-    def end_lease(self) -> None:
-        """Nothing may be sent to cold backends until rates are leased anew."""
-        self.places.cold = {backend: (until, 0) for backend, (until, _) in self.places.cold.items()}
+    def expire_rates(self) -> None:
+        """Send nothing to backends in cold start until rates are leased anew."""
+        self.placement.cold_limits = {
+            backend: (until, 0) for backend, (until, _) in self.placement.cold_limits.items()
+        }
 
-    def learn_of(self, classes: list[api.RequestClass]) -> None:
-        """Classes from now on; one that is new starts as all do."""
+    def add_classes(self, classes: list[api.RequestClass]) -> None:
+        """Add the classes that are new, with the first latency estimate that every class starts with."""
         for cls in classes[len(self.typical) :]:
             self.typical.append(FIRST_GUESS * cls.aim)
             self.usual.append(FIRST_GUESS * cls.aim)
 
-    def choose(self, t: Try, now: float) -> Backend | None:
-        if not allowed(t, self.settings, now):
+    def choose(self, pending: Try, now: float) -> Backend | None:
+        if not allowed(pending, self.settings, now):
             return None
         best, least = None, inf
-        typical = self.typical[t.ask.cls]
-        for b in self.ready(t.crowd):
-            key = b.entry.backend
-            if now < b.rest_until or t.avoid == key:
+        typical = self.typical[pending.ask.cls]
+        for backend in self.ready(pending.crowd):
+            key = backend.entry.backend
+            if now < backend.rest_until or pending.avoid == key:
                 continue
-            slots, out = self.places.slots.get(key, 1), len(b.out)
-            if out >= slots * (1.0 + QUEUE):
+            slots, in_flight = self.placement.slots.get(key, 1), len(backend.out)
+            if in_flight >= slots * (1.0 + QUEUED_PER_SLOT):
                 continue
-            until, most = self.places.cold.get(key, (0.0, 0))
-            slow = self.slowness(b, now)
-            if now < until:
-                # The process before may have sent all that is ours of this second.
-                if now < self.ground.born + SECOND or self._sent_lately(key, now) >= most:
+            cold_until, cold_limit = self.placement.cold_limits.get(key, (0.0, 0))
+            slowness = self.slowness(backend, now)
+            if now < cold_until:
+                # The previous process at this address may have used up this proxy's rate in the current second.
+                if now < self.ground.born + RATE_WINDOW_S or self._sent_in_window(key, now) >= cold_limit:
                     continue
-                slow *= 1.5
-            crowd = out * max(1.0, 0.5 * self.places.sharers) / slots
-            span, part = self.places.far.get(key, (0.0, 0.0))
-            cost = span + typical * (part + slow * (1.0 + crowd * crowd + NOISE * self.random.random()))
+                slowness *= 1.5
+            load = in_flight * max(1.0, 0.5 * self.placement.sharing_proxies) / slots
+            delay_s, fraction = self.placement.distances.get(key, (0.0, 0.0))
+            cost = delay_s + typical * (
+                fraction + slowness * (1.0 + load * load + LATENCY_JITTER * self.random.random())
+            )
             if cost < least:
-                best, least = b, cost
-        if best is not None and now < self.places.cold.get(best.entry.backend, (0.0, 0))[0]:
-            self.sent_cold.setdefault(best.entry.backend, deque()).append(now)
+                best, least = backend, cost
+        if best is not None and now < self.placement.cold_limits.get(best.entry.backend, (0.0, 0))[0]:
+            self.cold_sent_at.setdefault(best.entry.backend, deque()).append(now)
         return best
 
-    def _sent_lately(self, key: object, now: float) -> int:
-        sent = self.sent_cold.get(key, ())
-        while sent and sent[0] < now - SECOND:
-            sent.popleft()
-        return len(sent)
+    def _sent_in_window(self, key: object, now: float) -> int:
+        times = self.cold_sent_at.get(key, ())
+        while times and times[0] < now - RATE_WINDOW_S:
+            times.popleft()
+        return len(times)
 
     def press(self, crowd: Crowd, ratio: float, latency: float, now: float) -> None:
         super().press(crowd, ratio, latency, now)
-        crowd.window = max(WINDOW_LEAST, crowd.window)
+        crowd.window = max(MIN_WINDOW, crowd.window)
         crowd.rest_until = min(crowd.rest_until, now)
--- a/fennelpoint/system/proxy/queue_timeout.py
+++ b/fennelpoint/system/proxy/queue_timeout.py
@@ -1,4 +1,4 @@
-"""Requests that no backend was offered are ended early, so that their clients can still go elsewhere in time."""
+"""The queue of a proxy: requests that no backend was offered end early, so that clients can try another proxy."""
 
 from __future__ import annotations
 
@@ -9,51 +9,59 @@
 from fennelpoint.system.proxy.events import UnitsNeeded
 from fennelpoint.system.proxy.fair_queueing import FairOrder
 
-HELD_PART = 0.22  # of an aim that a request waits without having been offered to a backend
-ADVICE, MOST_ADVICE = 0.15, 0.5  # s after which a refused client is told to come again: least and most
-OVER_ADVICE = 3.0  # s, for a quota that is used up
-FIRST = 1e9  # times its worth, of a try that goes before all others
+QUEUE_TIMEOUT_FRACTION = 0.22  # of a target latency that a request waits without having been offered to a backend
+MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.15, 0.5  # told to a client whose request is refused within its quota
+OVER_QUOTA_RETRY_AFTER_S = 3.0
+STARVED_WORTH_FACTOR = 1e9  # puts a request of a starved level before all others
 
 
-class BriefWaiting(Waiting):
-    """Tries that no backend was offered are ended early: their clients may come again elsewhere in time."""
+class TimeoutQueue(Waiting):
+    """Queue with a short timeout, a starvation guard, and requests for units of pooled quotas."""
 
     def __init__(self, ground: Ground, *concerns: object) -> None:
         super().__init__(ground, *concerns)
-        self.order = FairOrder(ground.born)
+        self.fair_order = FairOrder(ground.born)
 
-    def level(self, t: Try) -> float:
-        """The worth that it waits by among the others, unless it goes first."""
-        return self.settings.classes[t.ask.cls].worth * self.settings.plans[t.customer.plan].price
+    def level_of(self, pending: Try) -> float:
+        """The worth that orders a request among the others, unless its level is starved."""
+        return self.settings.classes[pending.ask.cls].worth * self.settings.plans[pending.customer.plan].price
 
-    def hold(self, t: Try, now: float) -> None:
+    def hold(self, pending: Try, now: float) -> None:
         # Guards the lowest ranks: they would never be next while an overload lasts.
-        if t.ask.request not in self.line.held and self.order.starved(level := self.level(t), now):
-            t.worth = FIRST * level
-        super().hold(t, now)
-        self._need(t, now)
-        if not t.reached and t.ask.request in self.line.held:
-            t.last = min(t.last, t.came_at + HELD_PART * self.settings.classes[t.ask.cls].aim)
-            self.out += self.timers.wake(PUMP_TOKEN, max(now, t.last), now)
-
-    def ask_again(self, now: float) -> None:
-        """Another one allocates by now: units for what still waits."""
-        for t in self.quotas.unanswered(now):
-            self._need(t, now)
-
-    def _need(self, t: Try, now: float) -> None:
-        if self.quotas.need(t, now):
-            self.out.append(UnitsNeeded(t.customer.key, t.ask.units))
-
-    def refuse(self, t: Try, now: float, wait: float) -> None:
-        self.quotas.fill(t.customer, now)
-        over = self.quotas.over(t)
-        if not (over or t.charged):
-            self.order.add(self.level(t), False, now)
-        long = over and not (self.quotas.thin(t.customer) and t.customer.key in self.quotas.soon)
-        # One whose tenant asks for more than its quota has no room for as long as that lasts; for want of a lease, a
-        # part or a backend a client does well to come again soon; while nobody allocates, once somebody does.
-        advice = max(wait, OVER_ADVICE) if long else min(MOST_ADVICE, max(wait, ADVICE))
-        super().refuse(t, now, max(advice, self.quotas.until_takeover(t.customer, now)))
+        if pending.ask.request not in self.line.held and self.fair_order.is_starved(
+            level := self.level_of(pending), now
+        ):
+            pending.worth = STARVED_WORTH_FACTOR * level
+        super().hold(pending, now)
+        self._request_units(pending, now)
+        if not pending.reached and pending.ask.request in self.line.held:
+            pending.last = min(
+                pending.last, pending.came_at + QUEUE_TIMEOUT_FRACTION * self.settings.classes[pending.ask.cls].aim
+            )
+            self.out += self.timers.wake(PUMP_TOKEN, max(now, pending.last), now)
+
+    def repeat_unit_requests(self, now: float) -> None:
+        """Request units again for requests that still wait: another allocator may be active by now."""
+        for pending in self.quotas.pop_unanswered(now):
+            self._request_units(pending, now)
+
+    def _request_units(self, pending: Try, now: float) -> None:
+        if self.quotas.should_request_units(pending, now):
+            self.out.append(UnitsNeeded(pending.customer.key, pending.ask.units))
+
+    def refuse(self, pending: Try, now: float, wait: float) -> None:
+        self.quotas.fill(pending.customer, now)
+        is_over = self.quotas.is_over_quota(pending)
+        if not (is_over or pending.charged):
+            self.fair_order.record(self.level_of(pending), False, now)
+        is_long = is_over and not (
+            self.quotas.is_pooled(pending.customer) and pending.customer.key in self.quotas.briefly_short
+        )
+        # A tenant beyond its quota has no room for as long as that lasts.  For want of a lease, a share or a backend
+        # a client should retry soon; while no allocator is active, as soon as one may be.
+        retry_after = (
+            max(wait, OVER_QUOTA_RETRY_AFTER_S) if is_long else min(MAX_RETRY_AFTER_S, max(wait, MIN_RETRY_AFTER_S))
+        )
+        super().refuse(pending, now, max(retry_after, self.quotas.seconds_until_takeover(pending.customer, now)))
         if isinstance(last := self.out[-1], api.Refuse):
-            last.over = over
+            last.over = is_over
--- a/fennelpoint/system/proxy/request_parser.py
+++ b/fennelpoint/system/proxy/request_parser.py
@@ -1,7 +1,8 @@
-"""What a client's request is by the configuration in force: route, tenant, service, homes; or what it is answered.
+"""Parses a client's request by the configuration in force: its route, tenant, service and home regions.
 
-One reader for all connections; `take` puts another version in place between any two requests.  Nothing is decided by
-a version without a lease on it: not even a refusal.
+Requests that are answered without a backend end in a `Reply`.  One reader serves all connections; `apply_version`
+replaces the configuration between two requests.  No request is judged by a version without a lease on it, not even
+to refuse it.
 """
 
 from __future__ import annotations
@@ -17,141 +18,143 @@
 from fennelpoint.net.controller_host import Asked
 from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
 from fennelpoint.system.config_versions import Holder, Route, Version
-from fennelpoint.system.proxy.queue_timeout import MOST_ADVICE
-
-ID = re.compile(rb"[!-~]{1,128}")
-MOST_LEFT_MS = 3_600_000
-ONCE = frozenset((b"x-attempt-id", b"host", b"x-deadline-remaining", b"authorization", b"content-length",
-                  b"transfer-encoding"))
-NOT_PASSED_ON = HOP_BY_HOP | {b"expect", b"x-deadline-remaining", b"x-tenant-name", b"x-expected-instance"}
-KEPT = frozenset((b"x-attempt-id", b"host", b"authorization"))
+from fennelpoint.system.proxy.queue_timeout import MAX_RETRY_AFTER_S
+
+ATTEMPT_ID = re.compile(rb"[!-~]{1,128}")
+MAX_DEADLINE_MS = 3_600_000
+SINGLE_HEADERS = frozenset((b"x-attempt-id", b"host", b"x-deadline-remaining", b"authorization", b"content-length",
+                            b"transfer-encoding"))
+NOT_FORWARDED = HOP_BY_HOP | {b"expect", b"x-deadline-remaining", b"x-tenant-name", b"x-expected-instance"}
+NEVER_HOP_BY_HOP = frozenset((b"x-attempt-id", b"host", b"authorization"))  # whatever the Connection header names
 SCHEME = b"token "
-PUBLIC = -1         # the customer of requests without a tenant
-RETRY_AFTER = b"%.3f" % MOST_ADVICE     # s, for requests that come while there is no lease
+PUBLIC_CUSTOMER = -1    # of requests without a tenant
+RETRY_AFTER_S = b"%.3f" % MAX_RETRY_AFTER_S     # for requests that arrive while there is no lease
 
 
 @dataclass(slots=True)
-class Passed(Asked):
-    """A request as it goes to one backend: its identity is named, so that no other runs it."""
+class ForwardedRequest(Asked):
+    """A request as it is sent to a backend: it names the backend's identity, so that no other instance runs it."""
 
     def render(self, left: float, backend: object = None) -> bytes:
         return b"%bX-Deadline-Remaining: %d\r\nX-Expected-Instance: %b\r\n\r\n%b" % (
             self.head, max(1, int(left * 1000)), str(backend).encode(), self.body)
 
 
-class SystemReader(Reader):
-    """Reads requests by a version.  Classes and plans only grow, so that their numbers stay.
+class ProxyReader(Reader):
+    """Reads requests by a configuration version.  Classes and plans are only added, so that their numbers stay.
 
-    `leased` tells whether the version is proven now to be the newest, as of a time within the bound of the settings.
+    `is_leased` tells whether the version is confirmed as the newest, as of a time within the bound of the settings.
     """
 
-    def __init__(self, grown: Callable[[], None], random: Random, leased: Callable[[], bool]) -> None:
-        self.leased = leased
+    def __init__(self, on_growth: Callable[[], None], random: Random, is_leased: Callable[[], bool]) -> None:
+        self.is_leased = is_leased
         self.version: Version | None = None
         self.classes: dict[tuple, int] = {}
-        self.made: list[api.RequestClass] = []
+        self.request_classes: list[api.RequestClass] = []
         self.plans: dict[str, int] = {}
-        self.holders: list[Holder | None] = []
+        self.tenants: list[Holder | None] = []
         self.cells: dict[str, tuple[str, frozenset[str] | None]] = {}   # service and regions, by name
-        self.grown, self.random = grown, random     # told of a new class or cell, before it is used
-        self.asked: dict[str, int] = {}             # by tenant, since it was last taken
+        self.on_growth, self.random = on_growth, random     # called for a new class or cell, before it is used
+        self.request_counts: dict[str, int] = {}    # by tenant, since `take_request_counts`
 
-    def take(self, version: Version) -> None:
-        """Go by this version for every request that is read from now on."""
+    def apply_version(self, version: Version) -> None:
+        """Use this version for every request that is read from now on."""
         self.version = version
-        for holder in version.tenants:
-            if holder.name not in self.plans:
-                self.plans[holder.name] = len(self.holders)
-                self.holders.append(holder)
+        for tenant in version.tenants:
+            if tenant.name not in self.plans:
+                self.plans[tenant.name] = len(self.tenants)
+                self.tenants.append(tenant)
             else:
-                self.holders[self.plans[holder.name]] = holder
+                self.tenants[self.plans[tenant.name]] = tenant
 
-    def take_asked(self) -> dict[str, int]:
-        """Requests by tenant since this was last called, refused ones included."""
-        asked, self.asked = self.asked, {}
-        return asked
+    def take_request_counts(self) -> dict[str, int]:
+        """Requests by tenant since the last call, including refused ones."""
+        counts, self.request_counts = self.request_counts, {}
+        return counts
 
     def read(self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes,
              upload: Upload | None = None) -> Asked:
-        found: dict[bytes, bytes] = {}
+        """Parse one request; raises `BadRequest`, or `Reply` with the answer to a request that is not forwarded."""
+        single: dict[bytes, bytes] = {}
         options: set[bytes] = set()
         for name, value in headers:
-            if name in ONCE:
-                if name in found:
+            if name in SINGLE_HEADERS:
+                if name in single:
                     raise BadRequest(f"{name.decode()} is given twice")
-                found[name] = value
+                single[name] = value
             elif name == b"connection":
-                options.update(word.strip().lower() for word in value.split(b","))
-        if not (host := found.get(b"host")):
+                options.update(option.strip().lower() for option in value.split(b","))
+        if not (host := single.get(b"host")):
             raise BadRequest("host is missing")
-        if ID.fullmatch(txn := found.get(b"x-attempt-id", b"")) is None:
+        if ATTEMPT_ID.fullmatch(attempt_id := single.get(b"x-attempt-id", b"")) is None:
             raise BadRequest("x-attempt-id is not an id")
         if (version := self.version) is None:
             raise self._not_leased()
         path = url.partition(b"?")[0]
         if not path.startswith(b"/"):
             raise BadRequest("the target is no path")
-        bare = method == b"HEAD"
+        is_head = method == b"HEAD"
         route = version.find(host.decode("latin-1"), path.decode("latin-1"))
         if route is None:
-            raise self._by_version(Reply(404, body=b"there is no such route\n", bare=bare))
-        holder = self._holder(version, route, found.get(b"authorization"), bare)
-        left = min(self._left(found, route), route.timeout)
+            raise self._if_leased(Reply(404, body=b"there is no such route\n", bare=is_head))
+        tenant = self._tenant(version, route, single.get(b"authorization"), is_head)
+        time_left = min(self._deadline(single, route), route.timeout)
         lines = [method + b" " + url + b" HTTP/1.1"]
-        options -= KEPT
-        secret = b"authorization" if version.keys else b""
+        options -= NEVER_HOP_BY_HOP
+        key_header = b"authorization" if version.keys else b""
         lines += [name + b": " + value for name, value in headers
-                  if name not in NOT_PASSED_ON and name not in options and name != secret]
-        if holder is not None:
-            lines.append(b"X-Tenant-Name: " + holder.name.encode())
-        if body or upload is not None or b"content-length" in found or b"transfer-encoding" in found:
+                  if name not in NOT_FORWARDED and name not in options and name != key_header]
+        if tenant is not None:
+            lines.append(b"X-Tenant-Name: " + tenant.name.encode())
+        if body or upload is not None or b"content-length" in single or b"transfer-encoding" in single:
             lines.append(framing(body, upload))
-        customer = self.plans[holder.name] if holder is not None else PUBLIC
-        if holder is not None:
-            self.asked[holder.name] = self.asked.get(holder.name, 0) + 1
-        if not self.leased():
-            raise self._not_leased(bare)
-        return Passed(txn, self._class(route), customer + 1, customer, left, 1.0, 1.0, 0.0, False, not route.safe,
-                      b"\r\n".join(lines) + b"\r\n", body, bare, upload,
-                      cell=self._cell(route, holder), attempts=route.attempts)
-
-    def _holder(self, version: Version, route: Route, given: bytes | None, bare: bool) -> Holder | None:
-        holder = None
-        if given is not None and given[:6].lower() == SCHEME:
-            holder = version.keys.get(given[6:].strip().decode("latin-1"))
-        if holder is None and version.keys and not route.public:
-            raise self._by_version(Reply(401, ((b"www-authenticate", b"Token"),), b"the key is not known\n", bare))
-        return holder
-
-    def _by_version(self, reply: Reply) -> Reply:
-        """A refusal by the version that is held here, if that is leased."""
-        return reply if self.leased() else self._not_leased(reply.bare)
+        customer = self.plans[tenant.name] if tenant is not None else PUBLIC_CUSTOMER
+        if tenant is not None:
+            self.request_counts[tenant.name] = self.request_counts.get(tenant.name, 0) + 1
+        if not self.is_leased():
+            raise self._not_leased(is_head)
+        return ForwardedRequest(attempt_id, self._class_number(route), customer + 1, customer, time_left, 1.0, 1.0,
+                                0.0, False, not route.safe, b"\r\n".join(lines) + b"\r\n", body, is_head, upload,
+                                cell=self._cell_name(route, tenant), attempts=route.attempts)
+
+    def _tenant(self, version: Version, route: Route, authorization: bytes | None, is_head: bool) -> Holder | None:
+        tenant = None
+        if authorization is not None and authorization[:6].lower() == SCHEME:
+            tenant = version.keys.get(authorization[6:].strip().decode("latin-1"))
+        if tenant is None and version.keys and not route.public:
+            raise self._if_leased(Reply(401, ((b"www-authenticate", b"Token"),), b"the key is not known\n", is_head))
+        return tenant
+
+    def _if_leased(self, reply: Reply) -> Reply:
+        """A refusal by the version that is applied here, if it is leased."""
+        return reply if self.is_leased() else self._not_leased(reply.bare)
 
     @staticmethod
-    def _not_leased(bare: bool = False) -> Reply:
-        """What a request is told that nothing is decided on: it has not run, and may be sent again."""
-        return Reply(503, ((b"retry-after", RETRY_AFTER),), b"refused: trying again is harmless\n", bare)
-
-    def _left(self, found: dict[bytes, bytes], route: Route) -> float:
-        given = found.get(b"x-deadline-remaining")
-        if given is None:
+    def _not_leased(is_head: bool = False) -> Reply:
+        """The answer to a request while there is no lease: it has not run and may be sent again."""
+        return Reply(503, ((b"retry-after", RETRY_AFTER_S),), b"refused: trying again is harmless\n", is_head)
+
+    def _deadline(self, single: dict[bytes, bytes], route: Route) -> float:
+        """Seconds that the client still waits; the route's timeout if it does not say."""
+        remaining = single.get(b"x-deadline-remaining")
+        if remaining is None:
             return route.timeout
-        if not given.isdigit() or len(given) > 9 or not 0 < int(given) <= MOST_LEFT_MS:
+        if not remaining.isdigit() or len(remaining) > 9 or not 0 < int(remaining) <= MAX_DEADLINE_MS:
             raise BadRequest("x-deadline-remaining is not a number of milliseconds")
-        return int(given) / 1000.0
+        return int(remaining) / 1000.0
 
-    def _class(self, route: Route) -> int:
+    def _class_number(self, route: Route) -> int:
         key = (route.services[0][0], route.safe, route.aim, route.priority)
-        if (index := self.classes.get(key)) is None:
-            index = self.classes[key] = len(self.made)
-            self.made.append(api.RequestClass(f"{route.name}", route.aim, max(route.aim, route.timeout),
-                                              2.0 ** -min(route.priority, 20),
-                                              api.Effect.SAFE if route.safe else api.Effect.UNSAFE))
-            self.grown()
-        return index
-
-    def _cell(self, route: Route, holder: Holder | None) -> str:
-        """The service, and the regions where both route and tenant are at home."""
+        if (number := self.classes.get(key)) is None:
+            number = self.classes[key] = len(self.request_classes)
+            self.request_classes.append(api.RequestClass(f"{route.name}", route.aim, max(route.aim, route.timeout),
+                                                         2.0 ** -min(route.priority, 20),
+                                                         api.Effect.SAFE if route.safe else api.Effect.UNSAFE))
+            self.on_growth()
+        return number
+
+    def _cell_name(self, route: Route, tenant: Holder | None) -> str:
+        """Names the service and the regions that are home to both route and tenant."""
         services = route.services
         if len(services) == 1:
             service = services[0][0]
@@ -159,12 +162,12 @@
             service = self.random.choices([s for s, _ in services], [w for _, w in services])[0] if any(
                 w for _, w in services) else services[0][0]
         homes = route.homes
-        if holder is not None and holder.homes:
-            homes = homes & holder.homes if homes else holder.homes
+        if tenant is not None and tenant.homes:
+            homes = homes & tenant.homes if homes else tenant.homes
             if not homes:
                 homes = frozenset(("",))
         cell = service if not homes else f"{service}|{','.join(sorted(homes))}"
         if cell not in self.cells:
             self.cells[cell] = (service, homes or None)
-            self.grown()
+            self.on_growth()
         return cell
--- a/fennelpoint/system/proxy/session_actions.py
+++ b/fennelpoint/system/proxy/session_actions.py
@@ -1,4 +1,4 @@
-"""What a front's session with the core (`core_session`) has its process do, and the parts that it may use."""
+"""Actions that a proxy's session with the core (`core_session`) returns to its program, and the grant it holds."""
 
 from __future__ import annotations
 
@@ -6,53 +6,57 @@
 
 
 @dataclass(slots=True)
-class Apply:
-    """Go by this configuration from now on."""
+class ApplyConfig:
+    """Apply this configuration; `data` is its compressed content."""
 
     version: int
     data: bytes
 
 
 @dataclass(slots=True)
-class Refresh:
-    """The list or the evacuated zones have changed."""
+class RefreshBackends:
+    """The backend list or the set of evacuated zones has changed."""
 
 
 @dataclass(slots=True)
-class Hold:
-    """Whether there is a lease from now on."""
+class LeaseChanged:
+    """The lease was obtained, or it has expired for this reason."""
 
-    held: bool
+    has_lease: bool
     reason: str = ""
 
 
 @dataclass(slots=True)
-class Parts:
-    """What this front may use: thousandths of quotas by tenant and of the budget's slack, tries by cold backend."""
+class ProxyGrant:
+    """Shares granted to this proxy: thousandths of quotas by tenant and of the retry budget's slack, and rates.
+
+    `cold_rates` are attempts per second by backend in cold start; `term` and `number` identify the grant, where
+    number 0 stands for none.
+    """
 
     term: list = field(default_factory=lambda: [0, ""])
     number: int = 0
     quotas: dict[str, int] = field(default_factory=dict)
-    cold: dict[str, int] = field(default_factory=dict)
+    cold_rates: dict[str, int] = field(default_factory=dict)
     slack: int = 0
-    until: float = -1e9
+    expires_at: float = -1e9
 
 
 @dataclass(slots=True)
-class Lend:
-    """Go by these parts from now on; they are in `CoreSession.parts`."""
+class GrantChanged:
+    """`CoreSession.grant` has been replaced, or has expired."""
 
 
 @dataclass(slots=True)
-class Extend:
-    """The parts in `CoreSession.parts` stay in force for longer, until `CoreSession.parts.until`."""
+class GrantExtended:
+    """`CoreSession.grant` is valid for longer, until its new `expires_at`."""
 
 
 @dataclass(slots=True)
-class Units:
-    """Units of quotas that were drawn, by tenant, good until then; and those that are not there."""
+class UnitsReceived:
+    """Units of pooled quotas by tenant, valid until `expires_at`, and those that were denied."""
 
-    given: dict[str, int]
+    granted: dict[str, int]
     denied: dict[str, int]
-    soon: list[str]  # of these, tenants that are short for a moment only
-    until: float
+    briefly_short: list[str]  # tenants in `denied` whose pool refills within moments
+    expires_at: float
--- a/fennelpoint/testing/core_invariants.py
+++ b/fennelpoint/testing/core_invariants.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from fennelpoint.system.proxy.placement import SECOND
+from fennelpoint.system.proxy.placement import RATE_WINDOW_S
 from fennelpoint.system.registry.grants import WHOLE
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store import replica as writ
@@ -52,7 +52,9 @@
         """Raises Broken for the first rule that does not hold now."""
         world = self.world
         using = [
-            front for front in world.fronts.values() if world.allows(front) and world.now < front.session.parts.until
+            front
+            for front in world.fronts.values()
+            if world.allows(front) and world.now < front.session.grant.expires_at
         ]
         self._check_shares(using)
         self._check_cold(using)
@@ -64,7 +66,7 @@
         return Broken(f"{self.world.now:.2f}: {what}")
 
     def _check_shares(self, using: list[Front]) -> None:
-        parts = [front.session.parts for front in using]
+        parts = [front.session.grant for front in using]
         for tenant in TENANTS:
             if (whole := sum(p.quotas.get(tenant, 0) for p in parts)) > WHOLE:
                 raise self._broken(f"{whole} thousandths of {tenant}'s quota are in use")
@@ -75,9 +77,9 @@
         """Each life of a front may have sent all of the largest part that it had within the window."""
         now = self.world.now
         for front in using:
-            born = front.session.born
-            if now >= born + SECOND:  # a front that has just begun sends nothing to cold backends
-                for backend, part in front.session.parts.cold.items():
+            born = front.session.started_at
+            if now >= born + RATE_WINDOW_S:  # a front that has just begun sends nothing to cold backends
+                for backend, part in front.session.grant.cold_rates.items():
                     self.cold_uses.setdefault(backend, []).append(ColdUse(now, (front.ip, born), part))
         for backend, uses in list(self.cold_uses.items()):
             recent = [use for use in uses if use.at > now - COLD_WINDOW]
--- a/fennelpoint/testing/core_simulation.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -21,7 +21,7 @@
 from fennelpoint.system.http_server import Asking, Reply
 from fennelpoint.system.mesh import ip_of, name
 from fennelpoint.system.proxy.core_session import CoreSession
-from fennelpoint.system.proxy.session_actions import Apply, Hold, Units
+from fennelpoint.system.proxy.session_actions import ApplyConfig, LeaseChanged, UnitsReceived
 from fennelpoint.system.registry import state_machine as roll
 from fennelpoint.system.registry.state_machine import Desk
 from fennelpoint.system.settings import Bounds
@@ -91,8 +91,9 @@
         about = {"address": f"{ip}:80", "zone": front.zone, "region": front.region,
                  "life": self.random.getrandbits(40)}
         front.session = CoreSession(ip, front.zone, front.region, regions, self.seeds, about, self.now,
-                              self.bounds.lease_s, asked=lambda: {t: 1 for t, rate in front.asked.items()
-                                             if self.random.random() < rate * 0.5})
+                              self.bounds.lease_s,
+                              take_request_counts=lambda: {t: 1 for t, rate in front.asked.items()
+                                                           if self.random.random() < rate * 0.5})
 
     def restart(self, role: str, ip: str, first: bool = False) -> None:
         """A new life of one process of a core machine, with the disk as it is."""
@@ -175,7 +176,7 @@
         elif role == "roll":
             self._roll(self.cores[ip], self.cores[ip].desk.heard(source, message, self.now))
         elif self.links.get((to, source), (False, 0.0))[0] or source.startswith("span@"):
-            self._span(self.fronts[ip], self.fronts[ip].session.heard(source, message, self.now))
+            self._span(self.fronts[ip], self.fronts[ip].session.handle_message(source, message, self.now))
 
     def _writ(self, core: Core, actions: list) -> None:
         for action in actions:
@@ -231,17 +232,17 @@
             match action:
                 case Send(to, message):
                     self.send(name("span", front.ip), to, message)
-                case Apply(version, _):
+                case ApplyConfig(version, _):
                     if version < front.version:
                         raise Broken(f"{self.now:.2f}: {front.ip} goes back from {front.version} to {version}")
                     front.version = version
-                case Units(given, denied, _, until) if self.now <= until:
+                case UnitsReceived(given, denied, _, until) if self.now <= until:
                     for place, told in enumerate((given, denied)):
                         for tenant, units in told.items():
                             front.drawn.setdefault(tenant, [0, 0])[place] += units
-                case Hold(held, _):
-                    front.session.ready = held
-                    self._span(front, front.session.say(self.now))
+                case LeaseChanged(held, _):
+                    front.session.is_ready = held
+                    self._span(front, front.session.renew_now(self.now))
 
     # Time
 
@@ -352,11 +353,11 @@
         elif role == "writ":
             self._writ(self.cores[ip], self.cores[ip].store.linked(ip_of(other), up, self.now))
         elif role == "span":
-            self._span(self.fronts[ip], self.fronts[ip].session.linked(other, up, self.now))
+            self._span(self.fronts[ip], self.fronts[ip].session.handle_connection(other, up, self.now))
 
     def allows(self, front: Front) -> bool:
         """Whether it may send requests on."""
-        return front.up and front.ip not in self.frozen and front.session.allows(self.now)
+        return front.up and front.ip not in self.frozen and front.session.has_valid_lease(self.now)
 
 
 def grown(cores: int, fronts: int, seed: int = 1) -> World:
--- a/fennelpoint/testing/retry_histories.py
+++ b/fennelpoint/testing/retry_histories.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from fennelpoint.system.proxy.controller import Decider
+from fennelpoint.system.proxy.controller import ProxyController
 from fennelpoint.testing.retry_simulation import FAILURES, SERVICES, RetryWorld
 
 RESTS = (5.0, 30.0, 60.0, 600.0, 3600.0)  # s
@@ -52,14 +52,16 @@
             return Step(kind, random.randrange(100))
 
 
-def drawn(number: int, decider: type[Decider] = Decider) -> RetryWorld:
+def drawn(number: int, decider: type[ProxyController] = ProxyController) -> RetryWorld:
     """The history of that number, played to its end."""
     random = Random(number)
     proxies, slack = random.randint(2, 9), random.choice((5.0, 20.0, 60.0))
     return play(proxies, slack, number, [draw_step(random) for _ in range(random.randint(3, 10))], decider)
 
 
-def play(proxies: int, slack: float, seed: int, steps: list[Step], decider: type[Decider] = Decider) -> RetryWorld:
+def play(
+    proxies: int, slack: float, seed: int, steps: list[Step], decider: type[ProxyController] = ProxyController
+) -> RetryWorld:
     """A history from the start; at its end all backends of both services fail for a while."""
     world = RetryWorld(proxies, slack, seed, decider)
     world.serve(6.0, 20.0)
--- a/fennelpoint/testing/retry_simulation.py
+++ b/fennelpoint/testing/retry_simulation.py
@@ -15,10 +15,10 @@
 from fennelpoint import interface as api
 from fennelpoint.system.actions import Send
 from fennelpoint.system.mesh import name
-from fennelpoint.system.proxy.controller import Decider
+from fennelpoint.system.proxy.controller import ProxyController
 from fennelpoint.system.proxy.core_session import CoreSession
-from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeaseExtended, RetryRule, leased_shares
-from fennelpoint.system.proxy.session_actions import Extend, Lend
+from fennelpoint.system.proxy.events import BackendPlacement, Catalogue, RetryRule, SharesExtended, leased_shares
+from fennelpoint.system.proxy.session_actions import GrantChanged, GrantExtended
 from fennelpoint.system.registry.allocator import HOLD, Allocator
 from fennelpoint.system.settings import Bounds
 from fennelpoint.testing.retry_rule import RetryCounter
@@ -41,7 +41,7 @@
 
     ip: str
     session: CoreSession
-    decider: Decider
+    decider: ProxyController
     life: int
     lease_until: float = -1e9  # of the gate that a process asks before it sends
     cut: bool = False
@@ -77,7 +77,7 @@
     proxies_count: int
     slack: float
     seed: int = 1
-    decider: type[Decider] = Decider
+    decider: type[ProxyController] = ProxyController
     now: float = 100.0
     queue: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
     count: int = 0
@@ -87,7 +87,7 @@
 
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
-        self.counter = RetryCounter(RULE.ratio, self.slack, RULE.window)
+        self.counter = RetryCounter(RULE.ratio, self.slack, RULE.window_s)
         self.route = SERVICES[0]  # where it goes by the newest version
         self.failures = {service: Failure() for service in SERVICES}
         self.came: dict[int, str] = {}  # the service of each request that a proxy has read
@@ -140,10 +140,10 @@
             Catalogue(classes, plans),
             api.Cells(cells),
             api.Roster(api.RosterKind.FULL, 0, entries),
-            BackendPlaces({}, dict.fromkeys(BACKENDS, 1000), {}),
+            BackendPlacement({}, dict.fromkeys(BACKENDS, 1000), {}),
         ):
             self._tell(proxy, event)
-        self._carry_out(proxy, session.linked(CORE, True, self.now))
+        self._carry_out(proxy, session.handle_connection(CORE, True, self.now))
         self._later(self.random.random() * TICK, lambda: self._tick(proxy))
 
     def kill(self, ip: str) -> None:
@@ -210,9 +210,9 @@
                     front.heard += seconds
         for proxy in self.proxies.values():
             if proxy.runs and not proxy.cut:
-                proxy.session.parts.until += seconds
+                proxy.session.grant.expires_at += seconds
                 proxy.lease_until += seconds
-                self._tell(proxy, LeaseExtended(proxy.session.parts.until))
+                self._tell(proxy, SharesExtended(proxy.session.grant.expires_at))
 
     def _ask(self, proxy: Proxy) -> None:
         self.count += 1
@@ -269,10 +269,10 @@
             match action:
                 case Send(_, ["ask", number, _, _, want, _]) if want:
                     self._later(0.02, lambda n=number, w=want, sent=self.now: self._hear(proxy, n, w, sent))
-                case Lend():
-                    self._tell(proxy, leased_shares(proxy.session.parts, {}, self.slack))
-                case Extend():
-                    self._tell(proxy, LeaseExtended(proxy.session.parts.until))
+                case GrantChanged():
+                    self._tell(proxy, leased_shares(proxy.session.grant, {}, self.slack))
+                case GrantExtended():
+                    self._tell(proxy, SharesExtended(proxy.session.grant.expires_at))
 
     def _hear(self, proxy: Proxy, number: int, want: list, sent: float) -> None:
         """An ask has come to the core: the lease is renewed, and one of those that reckon may lend."""
@@ -285,7 +285,7 @@
                 lambda: None
                 if proxy.cut
                 else self._at(
-                    proxy, 0.0, lambda: self._carry_out(proxy, proxy.session.heard(CORE, message, self.now))
+                    proxy, 0.0, lambda: self._carry_out(proxy, proxy.session.handle_message(CORE, message, self.now))
                 ),
             )
 
--- a/fennelpoint/testing/scenario_language.py
+++ b/fennelpoint/testing/scenario_language.py
@@ -121,7 +121,7 @@
             case ["draw", ip, tenant, units]:
                 front = self.fronts[ip]
                 front.drawn.pop(tenant, None)
-                self._span(front, front.session.draw({tenant: int(units)}, self.now))
+                self._span(front, front.session.request_units({tenant: int(units)}, self.now))
             case ["claim", ip, term]:   # it holds the duty, as by voters that none of the others goes by
                 desk = self.cores[ip].desk
                 duty = desk.allocation.duty
@@ -163,7 +163,7 @@
             case ["version", ip, number]:
                 return self.fronts[ip].version == int(number)
             case ["evacuated", ip, *zones]:
-                return self.fronts[ip].session.evac == frozenset(zones)
+                return self.fronts[ip].session.evacuated_zones == frozenset(zones)
             case ["voters", ip, *ips]:
                 return set(self.cores[ip].store.world.get("voters", ())) == set(self._these(ips))
             case ["up", ip, word]:
@@ -184,11 +184,11 @@
                 b = self.cores[ip].desk.backends.known.get(backend)
                 return state == ("none" if b is None else "lost" if b.lost else b.told.state)
             case ["parts", ip, tenant, least, most]:
-                return int(least) <= self.fronts[ip].session.parts.quotas.get(tenant, 0) <= int(most)
+                return int(least) <= self.fronts[ip].session.grant.quotas.get(tenant, 0) <= int(most)
             case ["drawn", ip, tenant, units, denied]:
                 return self.fronts[ip].drawn.get(tenant, [0, 0]) == [int(units), int(denied)]
             case ["cold", ip, backend, least, most]:
-                return int(least) <= self.fronts[ip].session.parts.cold.get(backend, 0) <= int(most)
+                return int(least) <= self.fronts[ip].session.grant.cold_rates.get(backend, 0) <= int(most)
             case ["reckons", word]:
                 leads = [c.ip for c in self.cores.values() if c.up and c.desk.allocation.allocator is not None]
                 return len(leads) == (0 if word == "none" else 1) and word in ("none", "one", *leads)
--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -4,8 +4,8 @@
 
 from fennelpoint import interface as api
 from fennelpoint.regulation import FULL_STEP, PERIOD, STEP
-from fennelpoint.system.proxy.controller import Decider
-from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeasedShares
+from fennelpoint.system.proxy.controller import ProxyController
+from fennelpoint.system.proxy.events import BackendPlacement, Catalogue, LeasedShares
 from fennelpoint.system.registry.allocator import Allocator
 
 S = api.Status
@@ -21,11 +21,11 @@
         settings = api.Settings(0, 1, 0, classes, plans, 8, 0.0, 1.0, 0.0, 1.0, 1.0, 0.0, 0.001, most_units=1.0,
                                 may_advise=True, max_advice=3.0)
         self.now, self.number, self.timers, self.refused, self.answers = 100.0, 0, [], {}, []
-        self.one = Decider(settings, 1, self.now)
+        self.one = ProxyController(settings, 1, self.now)
         self.give(Catalogue(classes, plans))
         self.give(api.Cells({"svc": api.Cell(frozenset(("b1",)))}))
         self.give(api.Roster(api.RosterKind.FULL, 0, [api.BackendEntry("b1", api.BackendState.READY)]))
-        self.give(BackendPlaces({}, {"b1": 1000}, {}))
+        self.give(BackendPlacement({}, {"b1": 1000}, {}))
         self.give(LeasedShares({0: 1.0, 1: 1.0, 2: 1.0}, 10.0))
 
     def give(self, event) -> list:
@@ -66,7 +66,7 @@
     def __init__(self, slots: int, work: float) -> None:
         super().__init__()
         self.work, self.free = work, [self.now] * slots     # when each of its slots is free
-        self.give(BackendPlaces({}, {"b1": slots}, {}))
+        self.give(BackendPlacement({}, {"b1": slots}, {}))
         self.whose: dict[int, int] = {}
         self.asked, self.served = dict.fromkeys(range(3), 0), dict.fromkeys(range(3), 0)
 
--- a/tests/system/test_core_session.py
+++ b/tests/system/test_core_session.py
@@ -2,7 +2,7 @@
 
 from fennelpoint.system.actions import Send
 from fennelpoint.system.proxy.core_session import CoreSession
-from fennelpoint.system.proxy.session_actions import Hold
+from fennelpoint.system.proxy.session_actions import LeaseChanged
 
 CORE = "roll@a"
 
@@ -10,14 +10,14 @@
 def session() -> CoreSession:
     """A proxy with the list of backends, connected to one core machine."""
     made = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {"life": 1}, 0.0)
-    made.linked(CORE, True, 0.0)
-    made.heard(CORE, ["list", 1, 1, [], True], 0.0)
+    made.handle_connection(CORE, True, 0.0)
+    made.handle_message(CORE, ["list", 1, 1, [], True], 0.0)
     return made
 
 
 def answer(made: CoreSession, version: int, digest: str, now: float) -> None:
     """The core machine answers the newest ask: this is the newest configuration."""
-    made.heard(CORE, ["lease", made.numbers, version, version, digest, [], 1], now)
+    made.handle_message(CORE, ["lease", made.last_request_number, version, version, digest, [], 1], now)
 
 
 def played(made: CoreSession, since: float, until: float) -> list:
@@ -29,13 +29,13 @@
 def test_a_lease_that_ends_says_whether_the_core_was_silent_or_a_configuration_did_not_come() -> None:
     silent = session()
     answer(silent, 3, "d", 0.0)
-    silent.heard(CORE, ["content", "d", b"3"], 0.1)
-    (lapsed,) = [a for a in played(silent, 0.1, 5.0) if isinstance(a, Hold)]
-    assert lapsed.reason.startswith("no core machine answers, the last ask that was answered is")
+    silent.handle_message(CORE, ["content", "d", b"3"], 0.1)
+    (lapsed,) = [a for a in played(silent, 0.1, 5.0) if isinstance(a, LeaseChanged)]
+    assert lapsed.reason.startswith("no core machine answers; the last answered renewal was sent ")
     behind = session()
     answer(behind, 3, "d", 0.0)
-    behind.heard(CORE, ["content", "d", b"3"], 0.1)
+    behind.handle_message(CORE, ["content", "d", b"3"], 0.1)
     behind.tick(0.6)
     answer(behind, 5, "e", 0.7)
-    (lapsed,) = [a for a in played(behind, 0.7, 6.0) if isinstance(a, Hold)]
-    assert lapsed.reason.startswith("version 5 has not come, the last ask that was answered is")
+    (lapsed,) = [a for a in played(behind, 0.7, 6.0) if isinstance(a, LeaseChanged)]
+    assert lapsed.reason.startswith("configuration version 5 has not arrived; the last answered renewal was sent ")
--- a/tests/system/test_front.py
+++ b/tests/system/test_front.py
@@ -59,9 +59,9 @@
     at = server.sockets[0].getsockname()
     data = zlib.compress(json.dumps(CONFIGURATION).encode())
     backend = ["i-1", f"{at[0]}:{at[1]}", "svc", "za", 2, "v1", "ready", 1, 0.0, 0.0, False]
-    program.take(CORE, ["list", 1, 1, [backend], True])
-    program.take(CORE, ["lease", program.session._number(time.monotonic()), 1, 3, "d", [], 1])
-    program.take(CORE, ["content", "d", data])
+    program.handle_message(CORE, ["list", 1, 1, [backend], True])
+    program.handle_message(CORE, ["lease", program.session._next_request_number(time.monotonic()), 1, 3, "d", [], 1])
+    program.handle_message(CORE, ["content", "d", data])
     return program, booking, public, readiness
 
 
@@ -135,7 +135,7 @@
     async def play() -> None:
         program, booking, public, _ = await started(grace=6.0)
         program.stop()
-        program.life.since -= 3.5   # as 3.5 s later: 2.08 s are left
+        program.life_cycle.since -= 3.5   # as 3.5 s later: 2.08 s are left
         late = await post(public, "b1")     # it may take 4 s
         assert late.startswith(b"HTTP/1.1 503") and b"retry-after" in late and b"connection: close" in late
         booking.may.set()
@@ -148,7 +148,7 @@
 def test_a_front_whose_lease_ends_refuses_at_once_and_sends_nothing_on() -> None:
     async def play() -> None:
         program, booking, public, readiness = await started()
-        program.session.until = time.monotonic()     # as after seconds without a word
+        program.session.lease_expires_at = time.monotonic()     # as after seconds without a word
         answer = await post(public, "b1")
         assert answer.startswith(b"HTTP/1.1 503") and b"retry-after" in answer
         assert not await ready(readiness) and not booking.seen
@@ -164,13 +164,13 @@
         decider, session = program.host.controller, program.session
         assert decider.retry_rule == RetryRule(0.3, 12.0)
         grant = [[9, "a"], 1, [{}, {}, 500]]
-        program.take(CORE, ["lend", session._number(time.monotonic()), *grant])
-        assert decider.slack == 100 * 0.9 * 0.5
-        first = decider.leased_until
+        program.handle_message(CORE, ["lend", session._next_request_number(time.monotonic()), *grant])
+        assert decider.slack_share == 100 * 0.9 * 0.5
+        first = decider.shares_expire_at
         assert 0.0 < first - program.host.clock() <= GRANT_LIFE
         await asyncio.sleep(0)
-        program.take(CORE, ["lend", session._number(time.monotonic() + 0.5), *grant[:2], None])
-        assert decider.leased_until - first > 0.4
+        program.handle_message(CORE, ["lend", session._next_request_number(time.monotonic() + 0.5), *grant[:2], None])
+        assert decider.shares_expire_at - first > 0.4
         program.close()
 
     asyncio.run(asyncio.wait_for(play(), 10.0))
@@ -209,9 +209,10 @@
         await booking.came.wait()
         value = deepcopy(CONFIGURATION) | {"version": 7, "base_version": 3}
         change(value)
-        program.take(CORE, ["lease", program.session._number(time.monotonic()), 2, 7, "e", [], 1])
-        program.take(CORE, ["content", "e", zlib.compress(json.dumps(value).encode())])
-        assert program.session.goes_by == 7
+        number = program.session._next_request_number(time.monotonic())
+        program.handle_message(CORE, ["lease", number, 2, 7, "e", [], 1])
+        program.handle_message(CORE, ["content", "e", zlib.compress(json.dumps(value).encode())])
+        assert program.session.applied_version == 7
         if change in (without_its_route, without_its_host, with_keys):
             later = await post(public, "b2")
             assert later.startswith(b"HTTP/1.1 401" if change is with_keys else b"HTTP/1.1 404")
@@ -245,7 +246,7 @@
 
 def without_lease(program: Program) -> None:
     """As once the time of its lease is up, before any timer of the front runs."""
-    program.session.until = time.monotonic()
+    program.session.lease_expires_at = time.monotonic()
 
 
 # Guards against CONFIG: requests answered by an older version later than `config_apply_s` after its successor's ack.
@@ -254,8 +255,8 @@
         for bound in (2.0, 3.0, 4.0, 9.0):
             program, _, _, _ = await started(bounds=f"rule_bounds.config_apply_s={bound}\n")
             asked_by = time.monotonic()
-            assert program.session.allows(asked_by)
-            assert not program.session.allows(asked_by + bound), bound
+            assert program.session.has_valid_lease(asked_by)
+            assert not program.session.has_valid_lease(asked_by + bound), bound
             program.close()
 
     asyncio.run(asyncio.wait_for(play(), 10.0))
@@ -267,8 +268,9 @@
         program, booking, public, _ = await started()
         value = deepcopy(CONFIGURATION) | {"version": 7, "base_version": 3}
         with_keys(value)
-        program.take(CORE, ["lease", program.session._number(time.monotonic()), 2, 7, "e", [], 1])
-        program.take(CORE, ["content", "e", zlib.compress(json.dumps(value).encode())])
+        number = program.session._next_request_number(time.monotonic())
+        program.handle_message(CORE, ["lease", number, 2, 7, "e", [], 1])
+        program.handle_message(CORE, ["content", "e", zlib.compress(json.dumps(value).encode())])
         assert (await post(public, "b1", path="/none/1")).startswith(b"HTTP/1.1 404")
         assert (await post(public, "b2")).startswith(b"HTTP/1.1 401")
         without_lease(program)
--- a/tests/system/test_hot_day.py
+++ b/tests/system/test_hot_day.py
@@ -7,8 +7,8 @@
 import pytest
 
 from fennelpoint import interface as api
-from fennelpoint.system.proxy.controller import Decider
-from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeasedShares, UnitsGranted, UnitsNeeded
+from fennelpoint.system.proxy.controller import ProxyController
+from fennelpoint.system.proxy.events import BackendPlacement, Catalogue, LeasedShares, UnitsGranted, UnitsNeeded
 from fennelpoint.system.registry.allocator import Allocator
 from fennelpoint.system.registry.grants import DRAW_LIFE, GRANT_LIFE
 
@@ -34,12 +34,12 @@
         for name in names:
             settings = api.Settings(0, 1, 0, classes, plans, 8, 0.0, 1.0, 0.0, 1.0, 1.0, 0.0, 0.001, most_units=1.0,
                                     may_advise=True, max_advice=3.0)
-            self.fronts[name] = Decider(settings, 1, self.now)
+            self.fronts[name] = ProxyController(settings, 1, self.now)
             backends = [f"s{i}" for i in range(8)]
             for event in (Catalogue(classes, plans), api.Cells({"svc": api.Cell(frozenset(backends))}),
                           api.Roster(api.RosterKind.FULL, 0, [api.BackendEntry(b, api.BackendState.READY)
                                                               for b in backends]),
-                          BackendPlaces({}, dict.fromkeys(backends, 1000), {})):
+                          BackendPlacement({}, dict.fromkeys(backends, 1000), {})):
                 self.give(name, event)
             self.later(self.random.random() * 0.5, self.renew, name)
 
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -13,7 +13,7 @@
 from fennelpoint.system.incarnation import first_number, same_life
 from fennelpoint.system.proxy import core_session
 from fennelpoint.system.proxy.core_session import CoreSession
-from fennelpoint.system.proxy.session_actions import Hold
+from fennelpoint.system.proxy.session_actions import LeaseChanged
 from fennelpoint.system.registry import leader_lease, state_machine
 from fennelpoint.system.registry.allocator import Allocator
 from fennelpoint.system.registry.grants import GRANT_LIFE, WHOLE
@@ -87,14 +87,14 @@
     lives = []
     for life, born in ((11, 3600.0), (12, 2.0)):
         front = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {"life": life}, born)
-        front.linked("roll@a", True, born)
-        lives.append([a.message for a in front.tick(born + 1.0) + front.out if a.message[0] == "ask"] or
-                     [a.message for a in front.say(born + 1.0)])
-        front.lists.add("roll@a")
-        front.applied = "d"
+        front.handle_connection("roll@a", True, born)
+        lives.append([a.message for a in front.tick(born + 1.0) + front.actions if a.message[0] == "ask"] or
+                     [a.message for a in front.renew_now(born + 1.0)])
+        front.full_list_sources.add("roll@a")
+        front.applied_digest = "d"
     number = lives[0][0][1]
-    out = front.heard("roll@a", ["lease", number, 1, 3, "d", [], 1], 4.0)
-    assert any(isinstance(a, Hold) and a.held for a in out) is not fenced
+    out = front.handle_message("roll@a", ["lease", number, 1, 3, "d", [], 1], 4.0)
+    assert any(isinstance(a, LeaseChanged) and a.has_lease for a in out) is not fenced
 
 
 def two_hold(reborn: Duty) -> bool:
@@ -202,13 +202,13 @@
 
 def test_a_fresh_front_takes_no_parts_of_a_reckoner_that_another_has_followed() -> None:
     """The new one knows of it by its former life: what the old one lends it in its last second is in no sum."""
-    front = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {"life": 2}, 0.0, applied="d")
-    front.lists.add("roll@a")
-    number = front._number(0.0)
-    front.heard("roll@a", ["lend", number, [1, "a"], 7, [{"t": 900}, {}, 0]], 0.1)
-    out = front.heard("roll@a", ["lease", number, 1, 3, "d", [], 2], 0.2)
-    assert any(isinstance(a, Hold) and a.held for a in out) and not front.parts.quotas
-    front.heard("roll@a", ["lend", number, [1, "a"], 8, [{"t": 900}, {}, 0]], 0.3)
-    assert not front.parts.quotas
-    front.heard("roll@b", ["lend", number, [2, "b"], 1, [{"t": 300}, {}, 0]], 0.4)
-    assert front.parts.quotas == {"t": 300}
+    front = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {"life": 2}, 0.0, applied_digest="d")
+    front.full_list_sources.add("roll@a")
+    number = front._next_request_number(0.0)
+    front.handle_message("roll@a", ["lend", number, [1, "a"], 7, [{"t": 900}, {}, 0]], 0.1)
+    out = front.handle_message("roll@a", ["lease", number, 1, 3, "d", [], 2], 0.2)
+    assert any(isinstance(a, LeaseChanged) and a.has_lease for a in out) and not front.grant.quotas
+    front.handle_message("roll@a", ["lend", number, [1, "a"], 8, [{"t": 900}, {}, 0]], 0.3)
+    assert not front.grant.quotas
+    front.handle_message("roll@b", ["lend", number, [2, "b"], 1, [{"t": 300}, {}, 0]], 0.4)
+    assert front.grant.quotas == {"t": 300}
--- a/tests/system/test_parts.py
+++ b/tests/system/test_parts.py
@@ -15,8 +15,8 @@
 )
 
 from fennelpoint.system.proxy.core_session import CoreSession
-from fennelpoint.system.proxy.placement import SECOND
-from fennelpoint.system.proxy.session_actions import Units
+from fennelpoint.system.proxy.placement import RATE_WINDOW_S
+from fennelpoint.system.proxy.session_actions import UnitsReceived
 from fennelpoint.system.registry import allocator as allocator_module
 from fennelpoint.system.registry.allocator import (
     FORGET,
@@ -91,8 +91,8 @@
           late=st.booleans(), back=st.sampled_from([0, 0, 1]))
     def ask(self, ip: str, asked: dict, late: bool, back: int) -> None:
         front = self.fronts[ip]
-        front._ask(["roll@a"], self.now)
-        _, number, _, _, (seen, _, holds), _ = front._done()[-1].message
+        front._request_renewal(["roll@a"], self.now)
+        _, number, _, _, (seen, _, holds), _ = front._take_actions()[-1].message
         ask = (ip, self.lives[ip], number, seen, asked, holds)
         self.asks.append(ask) if late else self._hear(ask, back)
 
@@ -162,11 +162,12 @@
             lent = sum(most_in_use(f.grants, self.now).get(thing, 0) for f in allocator.fronts.values())
             assert allocator.pools["t2"].part <= max(0, WHOLE - lent) / WHOLE
         front = self.fronts[ip]
-        front.out.clear()
-        front._on_units("roll@a", self.now + late, front._number(self.now), allocator.term, given, denied, soon)
-        for told in front.out:
-            if isinstance(told, Units) and self.now + late <= told.until:
-                self.used.append((self.now + late, told.given.get("t2", 0)))
+        front.actions.clear()
+        front._on_units(
+            "roll@a", self.now + late, front._next_request_number(self.now), allocator.term, given, denied, soon)
+        for told in front.actions:
+            if isinstance(told, UnitsReceived) and self.now + late <= told.expires_at:
+                self.used.append((self.now + late, told.granted.get("t2", 0)))
 
     @precondition(lambda self: self.sent)
     @rule(which=st.integers(0, 50), twice=st.booleans())
@@ -183,7 +184,7 @@
 
     @rule(span=st.sampled_from([0.1, 0.5, 2.0, GRANT_LIFE, FORGET + 0.1]))
     def wait(self, span: float) -> None:
-        before = [(ip, f.parts.until, f.parts.cold.get("s1", 0)) for ip, f in self.fronts.items()]
+        before = [(ip, f.grant.expires_at, f.grant.cold_rates.get("s1", 0)) for ip, f in self.fronts.items()]
         self.now += span
         self.cold += [(min(until, self.now), (ip, self.lives[ip]), most) for ip, until, most in before]
         for front in self.fronts.values():
@@ -218,10 +219,10 @@
 
     @invariant()
     def adds_up(self) -> None:
-        parts = [f.parts for f in self.fronts.values() if self.now < f.parts.until]
+        parts = [f.grant for f in self.fronts.values() if self.now < f.grant.expires_at]
         for tenant in RATES:
             assert sum(p.quotas.get(tenant, 0) for p in parts) <= WHOLE
-        assert sum(p.cold.get("s1", 0) for p in parts) <= 11
+        assert sum(p.cold_rates.get("s1", 0) for p in parts) <= 11
         assert sum(p.slack for p in parts) <= WHOLE
 
     @invariant()
@@ -238,12 +239,12 @@
     @invariant()
     def cold_seconds_hold(self) -> None:
         """Each life of a front may have sent all of its part in one second, whoever has it by now."""
-        self.cold += [(self.now, (ip, self.lives[ip]), f.parts.cold.get("s1", 0))
-                      for ip, f in self.fronts.items() if self.now < f.parts.until]
-        self.cold = [(at, who, most) for at, who, most in self.cold if at > self.now - SECOND]
+        self.cold += [(self.now, (ip, self.lives[ip]), f.grant.cold_rates.get("s1", 0))
+                      for ip, f in self.fronts.items() if self.now < f.grant.expires_at]
+        self.cold = [(at, who, most) for at, who, most in self.cold if at > self.now - RATE_WINDOW_S]
         sent: dict[tuple[str, int], int] = {}
         for at, who, most in self.cold:
-            if at >= self.born[who] + SECOND:
+            if at >= self.born[who] + RATE_WINDOW_S:
                 sent[who] = max(sent.get(who, 0), most)
         assert sum(sent.values()) <= 11, sent
 
@@ -319,10 +320,10 @@
 
 def test_a_front_that_told_a_newer_term_takes_no_word_of_those_before() -> None:
     front = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {}, 0.0)
-    front._on_lend("roll@a", 0.0, front._number(0.0), [1, "a"], 1, [{"t": 100}, {}, 0])
+    front._on_lend("roll@a", 0.0, front._next_request_number(0.0), [1, "a"], 1, [{"t": 100}, {}, 0])
     front._on_tell("roll@b", 0.1, [2, "b"])
-    front._on_lend("roll@a", 0.2, front._number(0.1), [1, "a"], 2, [{"t": 900}, {}, 0])
-    assert front.parts.quotas == {"t": 100} and front.holds
+    front._on_lend("roll@a", 0.2, front._next_request_number(0.1), [1, "a"], 2, [{"t": 900}, {}, 0])
+    assert front.grant.quotas == {"t": 100} and front.must_report_grant
 
 
 def test_a_grant_that_has_ended_is_not_lent_again_as_it_was() -> None:
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -12,19 +12,19 @@
 from fennelpoint.net.controller_runtime import Clock
 from fennelpoint.net.request_parser import BadRequest, Reply
 from fennelpoint.system.config_versions import Version
-from fennelpoint.system.proxy.controller import Decider
-from fennelpoint.system.proxy.controller_host import SystemBackends
+from fennelpoint.system.proxy.controller import ProxyController
+from fennelpoint.system.proxy.controller_host import ProxyBackends
 from fennelpoint.system.proxy.events import (
-    BackendPlaces,
+    BackendPlacement,
     Catalogue,
     LeasedShares,
-    LeaseExtended,
     RetryRule,
+    SharesExtended,
     UnitsGranted,
     UnitsNeeded,
 )
-from fennelpoint.system.proxy.queue_timeout import HELD_PART
-from fennelpoint.system.proxy.request_parser import SystemReader
+from fennelpoint.system.proxy.queue_timeout import QUEUE_TIMEOUT_FRACTION
+from fennelpoint.system.proxy.request_parser import ProxyReader
 
 S = api.Status
 
@@ -36,7 +36,7 @@
             "route_action": {"request_timeout_s": 1.5, "max_attempts": 2, **act}}
 
 
-def reader(tenants: bool = True, leased: bool = True) -> SystemReader:
+def reader(tenants: bool = True, leased: bool = True) -> ProxyReader:
     split = [{"service": "a", "traffic_weight": 0}, {"service": "b", "traffic_weight": 5}]
     rules = [rule("r1", "/x/", service="a"), rule("r3", "/split/", traffic_split=split),
              rule("r2", "/x/deep/", "non_idempotent", service="b", home_regions=["r1", "r2"]),
@@ -47,12 +47,12 @@
         value["tenants"] = [{"name": "t1", "api_keys": ["k1"], "rate_per_s": 5, "burst_size": 5},
                             {"name": "t2", "api_keys": ["k2"], "home_regions": ["r2", "r3"]},
                             {"name": "t3", "api_keys": ["k3"], "home_regions": ["r3"]}]
-    made = SystemReader(lambda: None, Random(1), lambda: leased)
-    made.take(Version(value))
+    made = ProxyReader(lambda: None, Random(1), lambda: leased)
+    made.apply_version(Version(value))
     return made
 
 
-def read(one: SystemReader, url: bytes, *fields: tuple[bytes, bytes], key: bytes = b"k1", method: bytes = b"GET"):
+def read(one: ProxyReader, url: bytes, *fields: tuple[bytes, bytes], key: bytes = b"k1", method: bytes = b"GET"):
     given = [(b"host", b"h.example:80"), (b"x-attempt-id", b"i1"), (b"x-deadline-remaining", b"900"), *fields]
     return one.read(method, url, given + ([(b"authorization", b"Token " + key)] if key else []), b"")
 
@@ -68,7 +68,7 @@
         assert line in sent
     assert b"forged" not in sent and b"k1" not in sent
     assert read(one, b"/x/other").cell == "a" and read(one, b"/split/1").cell == "b"
-    assert one.take_asked() == {"t1": 3} and one.take_asked() == {}
+    assert one.take_request_counts() == {"t1": 3} and one.take_request_counts() == {}
 
 
 @pytest.mark.parametrize("url, key, status", [(b"/none/1", b"k1", 404), (b"/x", b"k1", 404), (b"/x/1", b"", 401),
@@ -86,7 +86,7 @@
         read(one, url, key=key)
     assert told.value.status == 503 and dict(told.value.headers)[b"retry-after"] == b"0.500"
     known = key and url == b"/x/1"
-    assert one.take_asked() == ({"t1": 1} if known else {})     # demand is told to the core all the same
+    assert one.take_request_counts() == ({"t1": 1} if known else {})     # demand is told to the core all the same
 
 
 def test_a_public_route_needs_no_key_and_a_doubled_field_is_refused() -> None:
@@ -112,7 +112,7 @@
     (503, {b"x-not-executed": b"1"}, S.FULL), (503, {b"x-attempt-id": b"i1"}, S.ERROR),
     (500, {b"x-attempt-id": b"i1"}, S.ERROR), (500, {}, None)])
 def test_what_an_answer_proves(status, fields, proves) -> None:
-    pool = SystemBackends(asyncio.new_event_loop(), 10, 0.1, 0.0, Budget(1 << 20))
+    pool = ProxyBackends(asyncio.new_event_loop(), 10, 0.1, 0.0, Budget(1 << 20))
     exchange = Exchange(lambda: b"", lambda status, answer: None)
     exchange.txn = b"i1"
     assert pool.judge(exchange, status, list(fields.items())) is proves
@@ -129,12 +129,12 @@
         self.now, self.number, self.out = 100.0, 0, []
         settings = api.Settings(0, 1, 0, classes, plans, 8, 0.0, 1.0, 0.0, 1.0, 1.0, 0.0, 0.001, most_units=1.0,
                                 may_advise=True, max_advice=3.0)
-        self.one = Decider(settings, 1, self.now)
+        self.one = ProxyController(settings, 1, self.now)
         self.tell(Catalogue(classes, plans))
         self.tell(api.Cells({"svc": api.Cell(frozenset(("b1", "b2")))}))
         entries = [api.BackendEntry(b, api.BackendState.READY) for b in ("b1", "b2")]
         self.tell(api.Roster(api.RosterKind.FULL, 0, entries))
-        self.tell(BackendPlaces({"b2": (0.05, 0.7)}, {"b1": 4, "b2": 4}, cold or {}))
+        self.tell(BackendPlacement({"b2": (0.05, 0.7)}, {"b1": 4, "b2": 4}, cold or {}))
         self.tell(LeasedShares({1: share}, slack))
 
     def tell(self, event) -> list:
@@ -231,7 +231,7 @@
 
 def test_one_without_a_part_draws_from_the_pool_by_the_try() -> None:
     front = Front(share=0.5, rate=10.0)
-    front.tell(LeasedShares({}, 0.0, pooled=True))
+    front.tell(LeasedShares({}, 0.0, has_pools=True))
     (need,) = front.ask()
     (other,) = front.ask()
     assert need == other == UnitsNeeded(1, 1.0)
@@ -253,25 +253,25 @@
 
 def test_a_draw_that_nobody_answers_ends_within_a_part_of_its_aim() -> None:
     front = Front(share=0.5, rate=10.0)
-    front.tell(LeasedShares({}, 0.0, pooled=True))
+    front.tell(LeasedShares({}, 0.0, has_pools=True))
     front.ask()
-    (refused,) = front.wait(HELD_PART + 0.01)
+    (refused,) = front.wait(QUEUE_TIMEOUT_FRACTION + 0.01)
     assert isinstance(refused, api.Refuse) and not refused.over
 
 
 def test_while_nobody_allocates_a_client_is_told_to_come_again_once_another_one_does() -> None:
     """Told to come again at once it was refused a second time, while a lease of the duty and a term take 1.5 s."""
     front = Front(share=0.5, rate=10.0)
-    front.tell(LeasedShares({}, 0.0, pooled=True))
+    front.tell(LeasedShares({}, 0.0, has_pools=True))
     front.ask()
-    (first,) = front.wait(HELD_PART + 0.01)
+    (first,) = front.wait(QUEUE_TIMEOUT_FRACTION + 0.01)
     front.ask()
-    (later,) = front.wait(HELD_PART + 0.01)
+    (later,) = front.wait(QUEUE_TIMEOUT_FRACTION + 0.01)
     assert 1.5 < first.retry_after <= 1.9
-    assert later.retry_after == pytest.approx(first.retry_after - HELD_PART - 0.01, abs=0.01)
+    assert later.retry_after == pytest.approx(first.retry_after - QUEUE_TIMEOUT_FRACTION - 0.01, abs=0.01)
     front.now += 2.0
     front.ask()
-    (lasting,) = front.wait(HELD_PART + 0.01)
+    (lasting,) = front.wait(QUEUE_TIMEOUT_FRACTION + 0.01)
     assert lasting.retry_after <= 0.5       # it lasts longer than a takeover: nothing is known
     front.tell(UnitsGranted({1: 1.0}, {}, front.now + 0.5))
     front.now += 1.0
@@ -282,17 +282,17 @@
 
 def test_what_waits_for_units_asks_whoever_allocates_next() -> None:
     front = Front(share=0.5, rate=10.0)
-    front.tell(LeasedShares({}, 0.0, pooled=True))
+    front.tell(LeasedShares({}, 0.0, has_pools=True))
     front.ask()
-    assert front.tell(LeasedShares({}, 0.0, pooled=True)) == []     # it may be answered yet
+    assert front.tell(LeasedShares({}, 0.0, has_pools=True)) == []     # it may be answered yet
     front.now += 0.21
-    assert front.tell(LeasedShares({}, 0.0, pooled=True)) == [UnitsNeeded(1, 1.0)]
+    assert front.tell(LeasedShares({}, 0.0, has_pools=True)) == [UnitsNeeded(1, 1.0)]
 
 
 def test_what_has_no_room_is_told_within_a_part_of_its_aim() -> None:
     front = Front(cold={"b1": (200.0, 0), "b2": (200.0, 0)})
     assert front.ask() == []
-    (refused,) = front.wait(HELD_PART + 0.01)
+    (refused,) = front.wait(QUEUE_TIMEOUT_FRACTION + 0.01)
     assert isinstance(refused, api.Refuse) and 0.0 < refused.retry_after <= 0.5 and not refused.over
 
 
@@ -331,8 +331,8 @@
 def test_a_proxy_that_wakes_after_its_lease_has_ended_uses_nothing_of_it() -> None:
     """What came while it stood still is read before its own timers run."""
     front = Front(share=1.0, rate=10.0, slack=10.0)
-    front.tell(LeasedShares({1: 1.0}, 10.0, until=front.now + 3.0))
-    front.tell(LeaseExtended(front.now + 18.0))
+    front.tell(LeasedShares({1: 1.0}, 10.0, expires_at=front.now + 3.0))
+    front.tell(SharesExtended(front.now + 18.0))
     front.wait(5.0)
     front.saves_up()
     (send,) = front.ask()
--- a/tests/system/test_quorum_check.py
+++ b/tests/system/test_quorum_check.py
@@ -66,9 +66,9 @@
 
 def test_a_front_keeps_the_newer_members_of_the_core() -> None:
     front = CoreSession("f", "za", "ra", {}, ["a"], {}, 0.0)
-    front.heard("roll@b", ["core", {"a": "za", "b": "zb"}, 7], 1.0)
-    front.heard("roll@a", ["core", {"a": "za"}, 5], 2.0)
-    assert front.order() == ["a", "b"]
+    front.handle_message("roll@b", ["core", {"a": "za", "b": "zb"}, 7], 1.0)
+    front.handle_message("roll@a", ["core", {"a": "za"}, 5], 2.0)
+    assert front.by_distance() == ["a", "b"]
 
 
 @pytest.mark.parametrize("scenario", ["beats_cut_off", "beats_deaf"])
--- a/tests/system/test_rendezvous_hashing.py
+++ b/tests/system/test_rendezvous_hashing.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fennelpoint.system.proxy.core_session import NEXT_SEED, CoreSession
+from fennelpoint.system.proxy.core_session import NEXT_SEED_AFTER_S, CoreSession
 from fennelpoint.system.rendezvous_hashing import preference
 
 REGIONS = {"za": "ra", "zb": "rb", "zc": "rc", "zd": "ra", "ze": "rb", "zf": "rc"}
@@ -30,9 +30,9 @@
     for session in sessions(240):
         session._on_core("roll@x", 1.0, CORE, 1)
         held.update(session.peers(1.0))
-        asked[session.order()[0]] += 1
+        asked[session.by_distance()[0]] += 1
         assert len(session.peers(1.0)) == 3
-        assert CORE[session.order()[0]] == session.zone
+        assert CORE[session.by_distance()[0]] == session.zone
         assert {REGIONS[CORE[peer.partition("@")[2]]] for peer in session.peers(1.0)} == {"ra", "rb", "rc"}
     assert len(held) == len(CORE) == len(asked)
     assert max(held.values()) < 1.6 * 3 * 240 / len(CORE)
@@ -44,7 +44,7 @@
     for session in sessions(240):
         (seed,) = session.peers(0.01)
         first[seed] += 1
-        assert len(session.peers(NEXT_SEED + 0.01)) == 2 and len(session.peers(5.0)) == 3
+        assert len(session.peers(NEXT_SEED_AFTER_S + 0.01)) == 2 and len(session.peers(5.0)) == 3
     assert len(first) == 3 and max(first.values()) < 1.4 * 240 / 3
 
 
--- a/tests/system/test_retry_budget.py
+++ b/tests/system/test_retry_budget.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fennelpoint.system.proxy.retry_budget import BURST_PART, RetryBudget
+from fennelpoint.system.proxy.retry_budget import BURST_FRACTION, RetryBudget
 from fennelpoint.testing.retry_histories import draw_step, play
 from fennelpoint.testing.retry_rule import RetryCounter
 from fennelpoint.testing.retry_simulation import RetryWorld
@@ -113,31 +113,31 @@
 def test_each_of_many_proxies_has_its_share_of_the_slack() -> None:
     world = RetryWorld(77, slack=194.0)
     world.serve(10.0, 1.0)
-    shares = [proxy.session.parts.slack for proxy in world.proxies.values()]
+    shares = [proxy.session.grant.slack for proxy in world.proxies.values()]
     assert min(shares) >= 10 and sum(shares) <= 985
 
 
 def test_savings_are_bounded_by_the_share_and_go_with_it() -> None:
-    budget = RetryBudget(ratio=0.2, window=10.0, share=10.0, filled_at=0.0)
+    budget = RetryBudget(ratio=0.2, window_s=10.0, share=10.0, filled_at=0.0)
     assert not budget.allows(0.0)  # the process before may have spent it
-    assert budget.allows(3600.0) and budget.saved == pytest.approx(BURST_PART * 10.0)
-    budget.lease(2.0, 3600.0)
-    assert budget.saved == pytest.approx(BURST_PART * 2.0)
-    budget.lease(0.0, 3600.0)
+    assert budget.allows(3600.0) and budget.saved_slack == pytest.approx(BURST_FRACTION * 10.0)
+    budget.set_share(2.0, 3600.0)
+    assert budget.saved_slack == pytest.approx(BURST_FRACTION * 2.0)
+    budget.set_share(0.0, 3600.0)
     assert not budget.allows(3601.0) and not budget.allows(7200.0)
 
 
 def test_credit_ends_with_the_request_that_earned_it_however_late_that_was_sent() -> None:
-    budget = RetryBudget(ratio=0.2, window=10.0, share=0.0, filled_at=0.0)
+    budget = RetryBudget(ratio=0.2, window_s=10.0, share=0.0, filled_at=0.0)
     for _ in range(20):
         budget.earn(came_at=100.0, now=103.0)
         budget.earn(came_at=103.0, now=103.0)
     assert sum(credit.amount for credit in budget.credits) == pytest.approx(4.0)
     budget.spend(103.0)  # of the oldest
-    assert budget.allows(99.9 + budget.credit_life)
-    budget.allows(100.3 + budget.credit_life)
+    assert budget.allows(99.9 + budget.credit_lifetime_s)
+    budget.allows(100.3 + budget.credit_lifetime_s)
     assert sum(credit.amount for credit in budget.credits) == pytest.approx(2.0)
-    assert not budget.allows(103.3 + budget.credit_life)
+    assert not budget.allows(103.3 + budget.credit_lifetime_s)
 
 
 # Guards against retries beyond the rule where its window is another than the usual ten seconds.
--- a/tests/system/test_reused_addresses.py
+++ b/tests/system/test_reused_addresses.py
@@ -11,8 +11,8 @@
 from fennelpoint.body_buffering import Budget
 from fennelpoint.net.backends import Exchange
 from fennelpoint.system.config_versions import Version
-from fennelpoint.system.proxy.controller_host import SystemBackends
-from fennelpoint.system.proxy.request_parser import SystemReader
+from fennelpoint.system.proxy.controller_host import ProxyBackends
+from fennelpoint.system.proxy.request_parser import ProxyReader
 
 S = api.Status
 SERVICE_OF = {"old": "lookup", "new": "payment"}
@@ -55,8 +55,8 @@
 
     def __init__(self, at: tuple[str, int]) -> None:
         self.at = at
-        self.pool = SystemBackends(asyncio.get_running_loop(), 10, 0.5, 0.0, Budget(1 << 20))
-        self.reader = SystemReader(lambda: None, Random(1), lambda: True)
+        self.pool = ProxyBackends(asyncio.get_running_loop(), 10, 0.5, 0.0, Budget(1 << 20))
+        self.reader = ProxyReader(lambda: None, Random(1), lambda: True)
         rules = [
             {"name": service, "kind": "non_idempotent", "target_latency_s": 0.4, "public": True,
              "match_criteria": {"path_prefix": f"/{service}/"},
@@ -64,7 +64,7 @@
             for service in SERVICE_OF.values()
         ]  # fmt: skip
         clusters = [{"name": service} for service in SERVICE_OF.values()]
-        self.reader.take(
+        self.reader.apply_version(
             Version({"version": 1, "clusters": clusters, "listener_table": [{"host": "h", "rule_set": rules}]})
         )
 
--- a/tests/system/test_silent_backends.py
+++ b/tests/system/test_silent_backends.py
@@ -36,9 +36,9 @@
         [f"i-{n}", f"{host}:{port}", "svc", "za" if n == 0 else "zb", 2, "v1", "ready", 1, 0.0, 0.0, False]
         for n, (host, port) in enumerate(addresses)
     ]
-    program.take(CORE, ["list", 1, 1, backends, True])
-    program.take(CORE, ["lease", program.session._number(time.monotonic()), 1, 3, "d", [], 1])
-    program.take(CORE, ["content", "d", version(kind)])
+    program.handle_message(CORE, ["list", 1, 1, backends, True])
+    program.handle_message(CORE, ["lease", program.session._next_request_number(time.monotonic()), 1, 3, "d", [], 1])
+    program.handle_message(CORE, ["content", "d", version(kind)])
     return program, public
 
 
@@ -116,7 +116,9 @@
         booking, at = await answering()
         program, public = await front(kind, server.sockets[0].getsockname()[:2], at)
         retries = [{}, {}, 1000]  # no quotas, no cold backends, all of the slack
-        program.take(CORE, ["lend", program.session._number(time.monotonic()), [1, "a"], 1, retries])
+        program.handle_message(
+            CORE, ["lend", program.session._next_request_number(time.monotonic()), [1, "a"], 1, retries]
+        )
         answer = await post(public, "b0")
         assert ending.seen == ["b0"]
         if kind == "idempotent":
--- a/tests/system/test_whose_answer.py
+++ b/tests/system/test_whose_answer.py
@@ -11,7 +11,7 @@
 from fennelpoint.net.controller_host import Asked, Ticket
 from fennelpoint.system.calls import find
 from fennelpoint.system.http_server import Asking, Reply, Visit, Web
-from fennelpoint.system.proxy.controller_host import SystemBackends, SystemHost
+from fennelpoint.system.proxy.controller_host import ProxyBackends, ProxyHost
 
 S = api.Status
 SHED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -37,7 +37,7 @@
                 writer.write(says.pop(0))
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        pool = SystemBackends(loop, 10, 0.5, 0.0, Budget(1 << 20))
+        pool = ProxyBackends(loop, 10, 0.5, 0.0, Budget(1 << 20))
         pool.follow(api.Roster(api.RosterKind.FULL, 0, [api.BackendEntry("b", api.BackendState.READY)]),
                     {"b": server.sockets[0].getsockname()[:2]})
         async with asyncio.timeout(5.0):
@@ -49,7 +49,7 @@
     asyncio.run(run())
 
 
-async def send(pool: SystemBackends, id: bytes, once: bool = True, may: Callable[[], bool] | None = None) -> S:
+async def send(pool: ProxyBackends, id: bytes, once: bool = True, may: Callable[[], bool] | None = None) -> S:
     ended = asyncio.get_running_loop().create_future()
     exchange = Exchange(lambda: b"POST /x HTTP/1.1\r\nX-Attempt-Id: %b\r\n\r\n" % id,
                         lambda status, answer: ended.set_result(status))
@@ -110,8 +110,8 @@
         classes = [api.RequestClass("none", 1.0, 1.0, 1.0, api.Effect.UNSAFE)]
         given = api.Settings(0, 1, 0, classes, [api.Plan("public", 1.0)], 8, 0.0, 1.0, 0.0, 1.0, 1.0, 0.0, 0.001,
                              most_units=1.0)
-        pool = SystemBackends(loop, 10, 0.5, 0.0, Budget(1 << 20))
-        host = SystemHost(loop, given, 1, pool, None, Budget(1 << 20))
+        pool = ProxyBackends(loop, 10, 0.5, 0.0, Budget(1 << 20))
+        host = ProxyHost(loop, given, 1, pool, None, Budget(1 << 20))
         client = Client()
         asked = Asked(b"i1", 0, 0, 0, 1.0, 1.0, 1.0, 0.0, False, write, b"", b"")
         host.tickets[1] = Ticket(1, asked, client, 1.0, last=Answer(status, [], b""))
