--- a/tests/system/test_core_choice.py
+++ b/tests/system/test_core_choice.py
@@ -1,4 +1,4 @@
-"""Which core machines a proxy holds and asks, while some of them answer and others do not."""
+"""Which core machines a proxy connects to and sends requests to, while some of them answer and others do not."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -20,78 +20,78 @@
 TICK = 0.05
 
 
-class Played:
-    """A choice in time: each tick the machines that are held and answer do so."""
+class ChoiceModel:
+    """A choice in simulated time: each tick a request goes to every connected machine."""
 
     def __init__(self) -> None:
         self.choice, self.now = CoreChoice("f", "za", "ra", REGIONS), 100.0
-        self.usual = self.choice.default_machines(CORE)
+        self.defaults = self.choice.default_machines(CORE)
 
     def run(self, seconds: float, answering: set[str]) -> None:
-        """Machines that are reached are asked at each tick; only these answer."""
+        """Let time pass while only these machines answer."""
         for _ in range(round(seconds / TICK)):
             self.now += TICK
-            held = self.choice.connection_targets(CORE)
-            for ip in held:
+            targets = self.choice.connection_targets(CORE)
+            for ip in targets:
                 self.choice.note_request(ip, self.now)
                 if ip in answering:
                     self.choice.note_answer(ip, self.now)
-            self.choice.update_fallbacks(CORE, held, self.now)
-
-
-def test_no_other_machine_is_held_while_one_of_the_usual_ones_answers() -> None:
-    played = Played()
-    for one in played.usual:
-        played.run(5.0, {one})
-        assert played.choice.connection_targets(CORE) == played.usual
-        assert played.choice.by_responsiveness(CORE, played.now)[-1] != one
-        silent = [ip for ip in played.usual if played.choice.is_silent(ip, played.now)]
-        assert silent == [ip for ip in played.usual if ip != one]
-
-
-def test_further_machines_are_tried_in_turn_until_one_answers_and_let_go_of_when_a_usual_one_does() -> None:
-    played = Played()
-    played.run(1.0, set(played.usual))
-    played.run(SILENT_AFTER_S + TICK, set())
-    assert len(played.choice.connection_targets(CORE)) == DEFAULT_MACHINES + 1
-    played.run(FALLBACK_INTERVAL_S + TICK, set())
-    assert len(played.choice.connection_targets(CORE)) == DEFAULT_MACHINES + 2
-    (found,) = played.choice.connection_targets(CORE)[-1:]
-    played.run(20.0, {found})
+            self.choice.update_fallbacks(CORE, targets, self.now)
+
+
+def test_no_fallback_is_connected_while_a_default_machine_answers() -> None:
+    model = ChoiceModel()
+    for answering in model.defaults:
+        model.run(5.0, {answering})
+        assert model.choice.connection_targets(CORE) == model.defaults
+        assert model.choice.by_responsiveness(CORE, model.now)[-1] != answering
+        silent = [ip for ip in model.defaults if model.choice.is_silent(ip, model.now)]
+        assert silent == [ip for ip in model.defaults if ip != answering]
+
+
+def test_fallbacks_are_tried_in_turn_until_one_answers_and_dropped_when_a_default_machine_answers() -> None:
+    model = ChoiceModel()
+    model.run(1.0, set(model.defaults))
+    model.run(SILENT_AFTER_S + TICK, set())
+    assert len(model.choice.connection_targets(CORE)) == DEFAULT_MACHINES + 1
+    model.run(FALLBACK_INTERVAL_S + TICK, set())
+    assert len(model.choice.connection_targets(CORE)) == DEFAULT_MACHINES + 2
+    (found,) = model.choice.connection_targets(CORE)[-1:]
+    model.run(20.0, {found})
     assert (
-        found in played.choice.connection_targets(CORE)
-        and len(played.choice.connection_targets(CORE)) <= DEFAULT_MACHINES + 2
+        found in model.choice.connection_targets(CORE)
+        and len(model.choice.connection_targets(CORE)) <= DEFAULT_MACHINES + 2
     )
-    assert played.choice.by_responsiveness(CORE, played.now)[0] == found
-    played.run(FALLBACK_RETENTION_S + 0.1, {found, *played.usual})
-    assert played.choice.connection_targets(CORE) == played.usual
-    assert played.choice.by_responsiveness(CORE, played.now)[0] == played.usual[0]
+    assert model.choice.by_responsiveness(CORE, model.now)[0] == found
+    model.run(FALLBACK_RETENTION_S + 0.1, {found, *model.defaults})
+    assert model.choice.connection_targets(CORE) == model.defaults
+    assert model.choice.by_responsiveness(CORE, model.now)[0] == model.defaults[0]
 
 
 @given(answering=st.sets(st.sampled_from(sorted(CORE)), min_size=1))
-def test_whichever_machine_answers_it_is_found_and_few_others_are_held(answering: set[str]) -> None:
-    played = Played()
-    played.run(START_GRACE_S + SILENT_AFTER_S + len(CORE) * FALLBACK_INTERVAL_S + 0.5, answering)
-    held = played.choice.connection_targets(CORE)
-    assert next(ip for ip in played.choice.by_responsiveness(CORE, played.now) if ip in held) in answering
+def test_any_answering_machine_is_found_and_few_others_stay_connected(answering: set[str]) -> None:
+    model = ChoiceModel()
+    model.run(START_GRACE_S + SILENT_AFTER_S + len(CORE) * FALLBACK_INTERVAL_S + 0.5, answering)
+    targets = model.choice.connection_targets(CORE)
+    assert next(ip for ip in model.choice.by_responsiveness(CORE, model.now) if ip in targets) in answering
     assert (
-        len(played.choice.connection_targets(CORE)) <= DEFAULT_MACHINES + 1 + SILENT_AFTER_S / FALLBACK_INTERVAL_S + 1
+        len(model.choice.connection_targets(CORE)) <= DEFAULT_MACHINES + 1 + SILENT_AFTER_S / FALLBACK_INTERVAL_S + 1
     )
 
 
-def connected(me: str = "f") -> CoreSession:
-    session = CoreSession(me, "za", "ra", REGIONS, ["za0"], {"life": 1}, 0.0)
+def connected_session(own_ip: str = "f") -> CoreSession:
+    session = CoreSession(own_ip, "za", "ra", REGIONS, ["za0"], {"life": 1}, 0.0)
     session.handle_message("roll@za0", ["core", CORE, 1], 0.0)
     for peer in sorted(session.peers(0.0)):
         session.handle_connection(peer, True, 0.0)
     return session
 
 
-def test_a_configuration_that_does_not_come_is_asked_of_those_that_named_it() -> None:
-    session = connected()
+def test_a_missing_configuration_is_requested_from_machines_that_announced_it() -> None:
+    session = connected_session()
     nearest, *others = ["roll@" + ip for ip in session.choice.default_machines(CORE)]
-    for told_by in others:
-        session.handle_message(told_by, ["world", 1, 3, "d", [], 1], 0.0)
+    for announcer in others:
+        session.handle_message(announcer, ["world", 1, 3, "d", [], 1], 0.0)
     asked = [
         action.to
         for tick in range(1, round(2 * RETRY_INTERVAL_S / TICK) + 4)
@@ -101,13 +101,13 @@
     assert set(asked) == set(others) and nearest not in asked
 
 
-def test_fronts_that_are_cut_off_together_ask_different_ones_for_help() -> None:
+def test_proxies_that_are_cut_off_together_choose_different_relays() -> None:
     others = [f"f{number}" for number in range(40)]
-    asked = set()
-    for me in others[:20]:
-        session = connected(me)
+    relays = set()
+    for own_ip in others[:20]:
+        session = connected_session(own_ip)
         session.handle_message("roll@za0", ["fronts", others], 0.0)
         session.is_cut_off = True
         assert len(session.relay_candidates()) == RELAYS
-        asked |= session.relay_candidates()
-    assert len(asked) > 15
+        relays |= session.relay_candidates()
+    assert len(relays) > 15
--- a/tests/system/test_core_failover.py
+++ b/tests/system/test_core_failover.py
@@ -1,16 +1,16 @@
-"""Proxies of a large fleet while some of the core's machines are cut off from the others, in simulated time."""
+"""A large fleet of proxies in simulated time, while a minority of the core machines is partitioned from the rest."""
 
 from fennelpoint.testing.core_simulation import World
 
 ZONES, REGIONS = 6, 3
 CORE_MACHINES, PROXIES, CUT_OFF = 11, 24, 5
-SETTLED_AT = 6.0  # s, when all are ready
-WATCHED = 5.0  # s from the cut on: longer than a lease lasts
+SETTLED_AT_S = 6.0  # when all proxies are ready
+OBSERVATION_S = 5.0  # after the partition: longer than a lease lasts
 SEEDS = (2, 4, 6)
 
 
 def fleet(seed: int) -> World:
-    """A fleet that goes by version 3, ready."""
+    """A fleet whose proxies are ready and have applied version 3."""
     world = World(seed)
     for i in range(CORE_MACHINES):
         world.do(["core", f"c{i:02}", f"z{i % ZONES}", f"r{i % REGIONS}"])
@@ -21,12 +21,12 @@
     world.start()
     world.run(3.0)
     world.do("put 3 on 0 via c00".split())
-    world.run(SETTLED_AT)
+    world.run(SETTLED_AT_S)
     return world
 
 
 def cut_off_a_minority(world: World) -> list[str]:
-    """Cuts two voters and three others off from the rest of the core, which all proxies reach; returns the rest."""
+    """Partitions two voters and three other core machines from the rest, and returns the rest; proxies reach all."""
     voters = sorted(world.cores["c00"].store.world["voters"])
     others = sorted(world.cores.keys() - set(voters))
     minority = world.random.sample(voters, 2) + world.random.sample(others, CUT_OFF - 2)
@@ -35,14 +35,14 @@
     return rest
 
 
-# Guards against proxies that hold no lease, for seconds, though most of the core would answer them.
-def test_proxies_turn_to_core_machines_that_answer() -> None:
+# Guards against proxies without a lease for seconds, though the majority of the core would answer them.
+def test_proxies_fail_over_to_core_machines_that_answer() -> None:
     for seed in SEEDS:
         world = fleet(seed)
         rest = cut_off_a_minority(world)
-        world.run(SETTLED_AT + 0.5)
+        world.run(SETTLED_AT_S + 0.5)
         world.do(f"put 5 on 3 via {rest[0]} x".split())
-        while world.now < SETTLED_AT + WATCHED:
+        while world.now < SETTLED_AT_S + OBSERVATION_S:
             world.run(world.now + 0.25)
             without = [front.ip for front in world.fronts.values() if not world.allows(front)]
             assert not without, f"seed {seed} at {world.now:.2f}"
--- a/tests/system/test_fair_queueing.py
+++ b/tests/system/test_fair_queueing.py
@@ -1,4 +1,4 @@
-"""Levels of worth that are served too seldom go first: when, until when, and what is kept of them."""
+"""The starvation guard: when a level of worth goes first, until when, and which levels are tracked."""
 
 from fennelpoint.system.proxy.fair_queueing import (
     HALF_LIFE_S,
@@ -9,63 +9,63 @@
 )
 
 HIGH, LOW = 3.0, 1.0
-BORN = 100.0
-EVERY = 0.1  # s between two tries of each level
+START = 100.0
+INTERVAL_S = 0.1  # between two requests of each level
 
 
 def play(order: FairOrder, now: float, seconds: float, low_offered: bool) -> float:
-    """Both levels are asked for; the high one's tries are all offered.  Returns the time after it."""
-    ends = now + seconds
-    while now < ends:
+    """Record requests of both levels, where those of the high one are all offered; returns the time afterwards."""
+    end = now + seconds
+    while now < end:
         order.record(HIGH, True, now)
         order.record(LOW, low_offered, now)
-        now += EVERY
+        now += INTERVAL_S
     return now
 
 
-def test_an_overload_of_some_seconds_leaves_the_order_as_it_is_and_a_long_one_does_not() -> None:
-    order = FairOrder(BORN)
-    now = play(order, BORN, 30.0, True)
+def test_only_a_lasting_overload_changes_the_order() -> None:
+    order = FairOrder(START)
+    now = play(order, START, 30.0, True)
     now = play(order, now, 0.7 * HALF_LIFE_S, False)
     assert not order.is_starved(LOW, now)
     now = play(order, now, 2.0 * HALF_LIFE_S, False)
     assert order.is_starved(LOW, now) and not order.is_starved(HIGH, now)
 
 
-def test_a_level_that_is_served_again_goes_first_no_longer_and_keeps_its_floor() -> None:
-    order = FairOrder(BORN)
-    now = play(order, BORN, 5.0 * HALF_LIFE_S, False)
-    served = tries = 0
+def test_a_starved_level_goes_first_until_it_has_its_minimum_share() -> None:
+    order = FairOrder(START)
+    now = play(order, START, 5.0 * HALF_LIFE_S, False)
+    served = requests = 0
     for _ in range(1000):
         offered = order.is_starved(LOW, now)
         order.record(HIGH, True, now)
         order.record(LOW, offered, now)
-        served, tries, now = served + offered, tries + 1, now + EVERY
-    whole = (served + tries) / (2 * tries)
-    assert 0.9 * MIN_RELATIVE_SHARE < served / tries / whole < 1.3 * MIN_RELATIVE_SHARE
+        served, requests, now = served + offered, requests + 1, now + INTERVAL_S
+    total_share = (served + requests) / (2 * requests)
+    assert 0.9 * MIN_RELATIVE_SHARE < served / requests / total_share < 1.3 * MIN_RELATIVE_SHARE
 
 
-def test_few_tries_say_nothing_and_old_ones_are_forgotten() -> None:
-    order = FairOrder(BORN)
+def test_few_requests_are_not_significant_and_old_ones_decay() -> None:
+    order = FairOrder(START)
     for number in range(int(MIN_REQUESTS) - 1):
-        order.record(LOW, False, BORN + 0.01 * number)
-        order.record(HIGH, True, BORN + 0.01 * number)
-    assert not order.is_starved(LOW, BORN + 1.0) and not order.is_starved(2.0, BORN + 1.0)
-    now = play(order, BORN, 3.0 * HALF_LIFE_S, False)
+        order.record(LOW, False, START + 0.01 * number)
+        order.record(HIGH, True, START + 0.01 * number)
+    assert not order.is_starved(LOW, START + 1.0) and not order.is_starved(2.0, START + 1.0)
+    now = play(order, START, 3.0 * HALF_LIFE_S, False)
     assert order.is_starved(LOW, now) and not order.is_starved(LOW, now + 10.0 * HALF_LIFE_S)
 
 
-def test_where_nothing_is_served_at_all_nobody_goes_first() -> None:
-    order = FairOrder(BORN)
+def test_no_level_goes_first_if_nothing_is_served() -> None:
+    order = FairOrder(START)
     for number in range(100):
-        order.record(LOW, False, BORN + EVERY * number)
-        order.record(HIGH, False, BORN + EVERY * number)
-    assert not order.is_starved(LOW, BORN + 10.0) and not order.is_starved(HIGH, BORN + 10.0)
+        order.record(LOW, False, START + INTERVAL_S * number)
+        order.record(HIGH, False, START + INTERVAL_S * number)
+    assert not order.is_starved(LOW, START + 10.0) and not order.is_starved(HIGH, START + 10.0)
 
 
-def test_what_is_kept_is_bounded_and_the_least_asked_for_goes() -> None:
-    order = FairOrder(BORN)
+def test_tracked_levels_are_bounded_and_the_least_requested_one_is_evicted() -> None:
+    order = FairOrder(START)
     for level in range(3 * MAX_LEVELS):
-        order.record(HIGH, True, BORN + level)
-        order.record(100.0 + level, False, BORN + level)
+        order.record(HIGH, True, START + level)
+        order.record(100.0 + level, False, START + level)
     assert len(order.levels) == MAX_LEVELS and HIGH in order.levels
--- a/tests/system/test_silent_backends.py
+++ b/tests/system/test_silent_backends.py
@@ -7,7 +7,7 @@
 import zlib
 
 import pytest
-from test_front import CONFIGURATION, CORE, Booking, post, settings_of
+from test_proxy_process import CONFIGURATION, CORE, Booking, post, settings_of
 
 from fennelpoint.system.proxy.program import Program
 from fennelpoint.testing.process import free_port
@@ -55,7 +55,7 @@
 
 async def answering() -> tuple[Booking, tuple[str, int]]:
     booking = Answering()
-    booking.may.set()
+    booking.may_answer.set()
     server = await asyncio.start_server(booking.serve, "127.0.0.1", 0)
     return booking, server.sockets[0].getsockname()[:2]
 
@@ -91,7 +91,7 @@
             began = time.monotonic()
             answer = await post(public, f"b{number}")
             assert answer.startswith(b"HTTP/1.1 200") and time.monotonic() - began < SOON
-        assert booking.seen == [f"b{number}" for number in range(6)]
+        assert booking.attempt_ids == [f"b{number}" for number in range(6)]
         program.close()
         silent.close()
 
@@ -120,11 +120,11 @@
             CORE, ["lend", program.session._next_request_number(time.monotonic()), [1, "a"], 1, retries]
         )
         answer = await post(public, "b0")
-        assert ending.seen == ["b0"]
+        assert ending.attempt_ids == ["b0"]
         if kind == "idempotent":
-            assert booking.seen == ["b0"] and answer.startswith(b"HTTP/1.1 200")
+            assert booking.attempt_ids == ["b0"] and answer.startswith(b"HTTP/1.1 200")
         else:
-            assert booking.seen == [] and answer.startswith(b"HTTP/1.1 502")
+            assert booking.attempt_ids == [] and answer.startswith(b"HTTP/1.1 502")
         program.close()
 
     asyncio.run(asyncio.wait_for(play(), 20.0))
@@ -137,11 +137,11 @@
         booking, at = await answering()
         program, public = await front("idempotent", server.sockets[0].getsockname()[:2], at)
         await asyncio.gather(*(post(public, f"b{number}") for number in range(4)))
-        held = len(still.seen)
+        held = len(still.attempt_ids)
         for number in range(4, 12):
             answer = await post(public, f"b{number}")
-            assert answer.startswith(b"HTTP/1.1 200") == (f"b{number}" in booking.seen)
-        assert len(still.seen) - held <= 1  # one may try whether it is back
+            assert answer.startswith(b"HTTP/1.1 200") == (f"b{number}" in booking.attempt_ids)
+        assert len(still.attempt_ids) - held <= 1  # one may try whether it is back
         program.close()
 
     asyncio.run(asyncio.wait_for(play(), 20.0))
