--- a/fennelpoint/system/proxy/core_session.py
+++ b/fennelpoint/system/proxy/core_session.py
@@ -289,14 +289,16 @@
 
     # Messages of core machines
 
-    def _on_list(self, peer: str, now: float, life: int, number: int, items: list, is_full: bool) -> None:
+    def _on_list(self, peer: str, now: float, incarnation: int, number: int, items: list, is_full: bool) -> None:
+        """Changes of the backend list up to that number, or the full list; each item ends in its `lost` flag."""
         changed = False
         for *item, lost in items:
-            told = Told(*item)
-            changed = self.backends.fold(told, now) or changed
-            b = self.backends.known[told.id]
-            if lost is not None and b.lost is not lost and told.age < 3600 and (lost is False or now - b.heard > 2.0):
-                b.lost, changed = lost, True
+            record = Told(*item)
+            changed = self.backends.fold(record, now) or changed
+            backend = self.backends.known[record.id]
+            if (lost is not None and backend.lost is not lost and record.age < 3600
+                    and (lost is False or now - backend.heard > 2.0)):
+                backend.lost, changed = lost, True
         self.list_change = number
         if is_full:
             self.full_list_sources.add(peer)
@@ -304,6 +306,7 @@
             self.actions.append(RefreshBackends())
 
     def _on_fronts(self, peer: str, now: float, proxies: list) -> None:
+        """IP addresses of the proxies that are ready."""
         self.other_proxies = proxies
 
     def _on_who(self, peer: str, now: float) -> None:
--- a/fennelpoint/system/proxy/events.py
+++ b/fennelpoint/system/proxy/events.py
@@ -84,6 +84,6 @@
 
 def leased_shares(grant: ProxyGrant, plans: dict[str, int], slack: float) -> LeasedShares:
     """The shares of a grant; `plans` maps tenants to their numbers, `slack` is the retry rule's, for all proxies."""
-    shares = {plans[tenant]: part / WHOLE for tenant, part in grant.quotas.items() if tenant in plans}
+    shares = {plans[tenant]: share / WHOLE for tenant, share in grant.quotas.items() if tenant in plans}
     expires_at = grant.expires_at if grant.number else inf  # without a grant nothing can expire
     return LeasedShares(shares, RETRY_SLACK_FRACTION * slack * grant.slack / WHOLE, grant.number > 0, expires_at)
--- a/fennelpoint/system/proxy/placement.py
+++ b/fennelpoint/system/proxy/placement.py
@@ -13,7 +13,7 @@
 from fennelpoint.system.proxy.events import BackendPlacement
 
 QUEUED_PER_SLOT = 1.0  # own attempts in flight beyond a backend's slots
-RATE_WINDOW_S = 1.02  # in which requests to a backend in cold start are counted: 1 s, and the error of timers
+RATE_WINDOW_S = 1.02  # in which requests to a backend in cold start count: 1 s plus the error of timers and clocks
 MIN_WINDOW = 2.0  # attempts in flight that a service's window always allows
 LATENCY_JITTER = 0.15  # of a usual latency, random in each choice: proxies do not see each other's requests
 
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -95,7 +95,7 @@
         self.web = Web(loop, self.handle_readiness)
         self.logged_cut: Cut | None = None  # the admission cut that was logged last
         self.evacuated_zones: frozenset = frozenset()
-        self.restored_at: dict[str, float] = {}     # by zone: its backends count as cold for a while
+        self.restored_at: dict[str, float] = {}     # by zone: its backends are in cold start for a while
         self.refresh_throttle = Paced(REFRESH_INTERVAL_S)
         self.refresh_timer: asyncio.TimerHandle | None = None
         self.stopped = loop.create_future()
@@ -236,16 +236,16 @@
             self.restored_at[zone] = now
         self.evacuated_zones = session.evacuated_zones
         entries, addresses = [], {}
-        for id, b in session.backends.known.items():
-            told = b.told
+        for id, backend in session.backends.known.items():
+            record = backend.told
             try:
-                addresses[id] = address(told.address)
+                addresses[id] = address(record.address)
             except ValueError:
                 continue
             state = api.BackendState.READY
-            if told.state == GONE:
+            if record.state == GONE:
                 state = api.BackendState.GONE
-            elif told.state == DRAINING or b.lost or told.zone in session.evacuated_zones:
+            elif record.state == DRAINING or backend.lost or record.zone in session.evacuated_zones:
                 state = api.BackendState.DRAINING
             entries.append(api.BackendEntry(id, state))
         self._update_placement(now)
@@ -256,14 +256,14 @@
         distances, slots, cold_limits = {}, {}, {}
         settings = self.settings
         clusters = self.reader.version.clusters if self.reader.version is not None else {}
-        for id, b in self.session.backends.known.items():
-            zone = b.told.zone
+        for id, backend in self.session.backends.known.items():
+            zone = backend.told.zone
             region = settings.zones.get(zone)
             distances[id] = OTHER_REGION if region != settings.region else OTHER_ZONE if zone != (
                 settings.availability_zone) else SAME_ZONE
-            slots[id] = max(1, b.told.slots)
-            cluster = clusters.get(b.told.service)
-            cold_until = b.cold_until
+            slots[id] = max(1, backend.told.slots)
+            cluster = clusters.get(backend.told.service)
+            cold_until = backend.cold_until
             if cluster is not None and zone in self.restored_at:
                 cold_until = max(cold_until, self.restored_at[zone] + cluster[0])
             if cluster is not None and cold_until > now:
--- a/fennelpoint/system/proxy/queue_timeout.py
+++ b/fennelpoint/system/proxy/queue_timeout.py
@@ -10,7 +10,7 @@
 from fennelpoint.system.proxy.fair_queueing import FairOrder
 
 QUEUE_TIMEOUT_FRACTION = 0.22  # of a target latency that a request waits without having been offered to a backend
-MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.15, 0.5  # told to a client whose request is refused within its quota
+MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.15, 0.5  # sent to a client that is refused within its quota
 OVER_QUOTA_RETRY_AFTER_S = 3.0
 STARVED_WORTH_FACTOR = 1e9  # puts a request of a starved level before all others
 
--- a/fennelpoint/system/proxy/request_parser.py
+++ b/fennelpoint/system/proxy/request_parser.py
@@ -75,18 +75,18 @@
     def read(self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes,
              upload: Upload | None = None) -> Asked:
         """Parse one request; raises `BadRequest`, or `Reply` with the answer to a request that is not forwarded."""
-        single: dict[bytes, bytes] = {}
+        single_headers: dict[bytes, bytes] = {}
         options: set[bytes] = set()
         for name, value in headers:
             if name in SINGLE_HEADERS:
-                if name in single:
+                if name in single_headers:
                     raise BadRequest(f"{name.decode()} is given twice")
-                single[name] = value
+                single_headers[name] = value
             elif name == b"connection":
                 options.update(option.strip().lower() for option in value.split(b","))
-        if not (host := single.get(b"host")):
+        if not (host := single_headers.get(b"host")):
             raise BadRequest("host is missing")
-        if ATTEMPT_ID.fullmatch(attempt_id := single.get(b"x-attempt-id", b"")) is None:
+        if ATTEMPT_ID.fullmatch(attempt_id := single_headers.get(b"x-attempt-id", b"")) is None:
             raise BadRequest("x-attempt-id is not an id")
         if (version := self.version) is None:
             raise self._not_leased()
@@ -97,8 +97,8 @@
         route = version.find(host.decode("latin-1"), path.decode("latin-1"))
         if route is None:
             raise self._if_leased(Reply(404, body=b"there is no such route\n", bare=is_head))
-        tenant = self._tenant(version, route, single.get(b"authorization"), is_head)
-        time_left = min(self._deadline(single, route), route.timeout)
+        tenant = self._tenant(version, route, single_headers.get(b"authorization"), is_head)
+        time_left = min(self._remaining_s(single_headers, route), route.timeout)
         lines = [method + b" " + url + b" HTTP/1.1"]
         options -= NEVER_HOP_BY_HOP
         key_header = b"authorization" if version.keys else b""
@@ -106,7 +106,8 @@
                   if name not in NOT_FORWARDED and name not in options and name != key_header]
         if tenant is not None:
             lines.append(b"X-Tenant-Name: " + tenant.name.encode())
-        if body or upload is not None or b"content-length" in single or b"transfer-encoding" in single:
+        if (body or upload is not None or b"content-length" in single_headers
+                or b"transfer-encoding" in single_headers):
             lines.append(framing(body, upload))
         customer = self.plans[tenant.name] if tenant is not None else PUBLIC_CUSTOMER
         if tenant is not None:
@@ -134,9 +135,9 @@
         """The answer to a request while there is no lease: it has not run and may be sent again."""
         return Reply(503, ((b"retry-after", RETRY_AFTER_S),), b"refused: trying again is harmless\n", is_head)
 
-    def _deadline(self, single: dict[bytes, bytes], route: Route) -> float:
+    def _remaining_s(self, single_headers: dict[bytes, bytes], route: Route) -> float:
         """Seconds that the client still waits; the route's timeout if it does not say."""
-        remaining = single.get(b"x-deadline-remaining")
+        remaining = single_headers.get(b"x-deadline-remaining")
         if remaining is None:
             return route.timeout
         if not remaining.isdigit() or len(remaining) > 9 or not 0 < int(remaining) <= MAX_DEADLINE_MS:
--- a/tests/system/test_core_failover.py
+++ b/tests/system/test_core_failover.py
@@ -44,6 +44,6 @@
         world.do(f"put 5 on 3 via {rest[0]} x".split())
         while world.now < SETTLED_AT_S + OBSERVATION_S:
             world.run(world.now + 0.25)
-            without = [front.ip for front in world.fronts.values() if not world.allows(front)]
+            without = [proxy.ip for proxy in world.fronts.values() if not world.allows(proxy)]
             assert not without, f"seed {seed} at {world.now:.2f}"
-        assert {front.version for front in world.fronts.values()} == {5}
+        assert {proxy.version for proxy in world.fronts.values()} == {5}
