--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -13,7 +13,7 @@
 from fennelpoint.system.incarnation import first_number, same_life
 from fennelpoint.system.proxy import core_session
 from fennelpoint.system.proxy.core_session import CoreSession
-from fennelpoint.system.proxy.session_actions import Hold
+from fennelpoint.system.proxy.session_actions import LeaseChanged
 from fennelpoint.system.registry import leader_lease, state_machine
 from fennelpoint.system.registry.allocator import Allocator
 from fennelpoint.system.registry.grants import GRANT_TTL_S, TOTAL_SHARES
@@ -87,14 +87,14 @@
     requests = []
     for incarnation, started_at in ((11, 3600.0), (12, 2.0)):
         proxy = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {"life": incarnation}, started_at)
-        proxy.linked("roll@a", True, started_at)
-        requests.append([a.message for a in proxy.tick(started_at + 1.0) + proxy.out if a.message[0] == "ask"] or
-                        [a.message for a in proxy.say(started_at + 1.0)])
-        proxy.lists.add("roll@a")
-        proxy.applied = "d"
+        proxy.handle_connection("roll@a", True, started_at)
+        requests.append([a.message for a in proxy.tick(started_at + 1.0) + proxy.actions if a.message[0] == "ask"] or
+                        [a.message for a in proxy.renew_now(started_at + 1.0)])
+        proxy.full_list_sources.add("roll@a")
+        proxy.applied_digest = "d"
     number = requests[0][0][1]
-    actions = proxy.heard("roll@a", ["lease", number, 1, 3, "d", [], 1], 4.0)
-    assert any(isinstance(a, Hold) and a.held for a in actions) is not fenced
+    actions = proxy.handle_message("roll@a", ["lease", number, 1, 3, "d", [], 1], 4.0)
+    assert any(isinstance(a, LeaseChanged) and a.has_lease for a in actions) is not fenced
 
 
 def two_hold_the_lease(restarted: LeaderLease) -> bool:
@@ -212,13 +212,13 @@
 
 def test_a_restarted_proxy_takes_no_shares_of_an_allocator_that_was_replaced() -> None:
     """The new allocator knows only the proxy's earlier incarnation: the old one's last grants are in no sum of it."""
-    proxy = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {"life": 2}, 0.0, applied="d")
-    proxy.lists.add("roll@a")
-    number = proxy._number(0.0)
-    proxy.heard("roll@a", ["lend", number, [1, "a"], 7, [{"t": 900}, {}, 0]], 0.1)
-    actions = proxy.heard("roll@a", ["lease", number, 1, 3, "d", [], 2], 0.2)
-    assert any(isinstance(a, Hold) and a.held for a in actions) and not proxy.parts.quotas
-    proxy.heard("roll@a", ["lend", number, [1, "a"], 8, [{"t": 900}, {}, 0]], 0.3)
-    assert not proxy.parts.quotas
-    proxy.heard("roll@b", ["lend", number, [2, "b"], 1, [{"t": 300}, {}, 0]], 0.4)
-    assert proxy.parts.quotas == {"t": 300}
+    proxy = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {"life": 2}, 0.0, applied_digest="d")
+    proxy.full_list_sources.add("roll@a")
+    number = proxy._next_request_number(0.0)
+    proxy.handle_message("roll@a", ["lend", number, [1, "a"], 7, [{"t": 900}, {}, 0]], 0.1)
+    actions = proxy.handle_message("roll@a", ["lease", number, 1, 3, "d", [], 2], 0.2)
+    assert any(isinstance(a, LeaseChanged) and a.has_lease for a in actions) and not proxy.grant.quotas
+    proxy.handle_message("roll@a", ["lend", number, [1, "a"], 8, [{"t": 900}, {}, 0]], 0.3)
+    assert not proxy.grant.quotas
+    proxy.handle_message("roll@b", ["lend", number, [2, "b"], 1, [{"t": 300}, {}, 0]], 0.4)
+    assert proxy.grant.quotas == {"t": 300}
--- a/tests/system/test_parts.py
+++ b/tests/system/test_parts.py
@@ -15,8 +15,8 @@
 )
 
 from fennelpoint.system.proxy.core_session import CoreSession
-from fennelpoint.system.proxy.placement import SECOND
-from fennelpoint.system.proxy.session_actions import Units
+from fennelpoint.system.proxy.placement import RATE_WINDOW_S
+from fennelpoint.system.proxy.session_actions import UnitsReceived
 from fennelpoint.system.registry import allocator as allocator_module
 from fennelpoint.system.registry.allocator import (
     FORGET_PROXY_S,
@@ -92,8 +92,8 @@
           delayed=st.booleans(), back=st.sampled_from([0, 0, 1]))
     def request(self, ip: str, demand: dict, delayed: bool, back: int) -> None:
         proxy = self.proxies[ip]
-        proxy._ask(["roll@a"], self.now)
-        _, number, _, _, (in_use, _, holds), _ = proxy._done()[-1].message
+        proxy._request_renewal(["roll@a"], self.now)
+        _, number, _, _, (in_use, _, holds), _ = proxy._take_actions()[-1].message
         request = (ip, self.incarnations[ip], number, in_use, demand, holds)
         self.delayed_requests.append(request) if delayed else self._handle_request(request, back)
 
@@ -165,11 +165,13 @@
                          for proxy in allocator.proxies.values())
             assert allocator.pools["t2"].quota_part <= max(0, TOTAL_SHARES - in_use) / TOTAL_SHARES
         proxy = self.proxies[ip]
-        proxy.out.clear()
-        proxy._on_units("roll@a", self.now + delay_s, proxy._number(self.now), allocator.term, granted, denied, short)
-        for action in proxy.out:
-            if isinstance(action, Units) and self.now + delay_s <= action.until:
-                self.pool_units_used.append((self.now + delay_s, action.given.get("t2", 0)))
+        proxy.actions.clear()
+        proxy._on_units(
+            "roll@a", self.now + delay_s, proxy._next_request_number(self.now), allocator.term, granted, denied, short
+        )
+        for action in proxy.actions:
+            if isinstance(action, UnitsReceived) and self.now + delay_s <= action.expires_at:
+                self.pool_units_used.append((self.now + delay_s, action.granted.get("t2", 0)))
 
     @precondition(lambda self: self.grants_in_transit)
     @rule(which=st.integers(0, 50), twice=st.booleans())
@@ -186,7 +188,9 @@
 
     @rule(duration_s=st.sampled_from([0.1, 0.5, 2.0, GRANT_TTL_S, FORGET_PROXY_S + 0.1]))
     def wait(self, duration_s: float) -> None:
-        before = [(ip, proxy.parts.until, proxy.parts.cold.get("s1", 0)) for ip, proxy in self.proxies.items()]
+        before = [
+            (ip, proxy.grant.expires_at, proxy.grant.cold_rates.get("s1", 0)) for ip, proxy in self.proxies.items()
+        ]
         self.now += duration_s
         self.cold_use += [(min(until, self.now), (ip, self.incarnations[ip]), rate) for ip, until, rate in before]
         for proxy in self.proxies.values():
@@ -221,10 +225,10 @@
 
     @invariant()
     def shares_stay_within_limits(self) -> None:
-        current = [proxy.parts for proxy in self.proxies.values() if self.now < proxy.parts.until]
+        current = [proxy.grant for proxy in self.proxies.values() if self.now < proxy.grant.expires_at]
         for tenant in RATES:
             assert sum(shares.quotas.get(tenant, 0) for shares in current) <= TOTAL_SHARES
-        assert sum(shares.cold.get("s1", 0) for shares in current) <= 11
+        assert sum(shares.cold_rates.get("s1", 0) for shares in current) <= 11
         assert sum(shares.slack for shares in current) <= TOTAL_SHARES
 
     @invariant()
@@ -243,12 +247,12 @@
     @invariant()
     def cold_rates_hold_in_each_second(self) -> None:
         """Each incarnation of a proxy may have used all of its rate in one second, whichever proxy holds it now."""
-        self.cold_use += [(self.now, (ip, self.incarnations[ip]), proxy.parts.cold.get("s1", 0))
-                      for ip, proxy in self.proxies.items() if self.now < proxy.parts.until]
-        self.cold_use = [(at, holder, rate) for at, holder, rate in self.cold_use if at > self.now - SECOND]
+        self.cold_use += [(self.now, (ip, self.incarnations[ip]), proxy.grant.cold_rates.get("s1", 0))
+                      for ip, proxy in self.proxies.items() if self.now < proxy.grant.expires_at]
+        self.cold_use = [(at, holder, rate) for at, holder, rate in self.cold_use if at > self.now - RATE_WINDOW_S]
         sent: dict[tuple[str, int], int] = {}
         for at, holder, rate in self.cold_use:
-            if at >= self.started_at[holder] + SECOND:
+            if at >= self.started_at[holder] + RATE_WINDOW_S:
                 sent[holder] = max(sent.get(holder, 0), rate)
         assert sum(sent.values()) <= 11, sent
 
@@ -325,10 +329,10 @@
 
 def test_proxy_that_reported_to_a_newer_term_ignores_grants_of_earlier_terms() -> None:
     proxy = CoreSession("f", "za", "ra", {"za": "ra"}, ["a"], {}, 0.0)
-    proxy._on_lend("roll@a", 0.0, proxy._number(0.0), [1, "a"], 1, [{"t": 100}, {}, 0])
+    proxy._on_lend("roll@a", 0.0, proxy._next_request_number(0.0), [1, "a"], 1, [{"t": 100}, {}, 0])
     proxy._on_tell("roll@b", 0.1, [2, "b"])
-    proxy._on_lend("roll@a", 0.2, proxy._number(0.1), [1, "a"], 2, [{"t": 900}, {}, 0])
-    assert proxy.parts.quotas == {"t": 100} and proxy.holds
+    proxy._on_lend("roll@a", 0.2, proxy._next_request_number(0.1), [1, "a"], 2, [{"t": 900}, {}, 0])
+    assert proxy.grant.quotas == {"t": 100} and proxy.must_report_grant
 
 
 def test_expired_grant_is_not_renewed_unchanged() -> None:
--- a/tests/system/test_quorum_check.py
+++ b/tests/system/test_quorum_check.py
@@ -67,9 +67,9 @@
 
 def test_a_proxy_keeps_the_newest_core_membership() -> None:
     proxy = CoreSession("f", "za", "ra", {}, ["a"], {}, 0.0)
-    proxy.heard("roll@b", ["core", {"a": "za", "b": "zb"}, 7], 1.0)
-    proxy.heard("roll@a", ["core", {"a": "za"}, 5], 2.0)
-    assert proxy.order() == ["a", "b"]
+    proxy.handle_message("roll@b", ["core", {"a": "za", "b": "zb"}, 7], 1.0)
+    proxy.handle_message("roll@a", ["core", {"a": "za"}, 5], 2.0)
+    assert proxy.by_distance() == ["a", "b"]
 
 
 @pytest.mark.parametrize("scenario", ["beats_cut_off", "beats_deaf"])
--- a/tests/system/test_silent_backends.py
+++ b/tests/system/test_silent_backends.py
@@ -7,7 +7,7 @@
 import zlib
 
 import pytest
-from test_front import CONFIGURATION, CORE, Booking, post, settings_of
+from test_proxy_process import CONFIGURATION, CORE, Booking, post, settings_of
 
 from fennelpoint.system.proxy.program import Program
 from fennelpoint.testing.process import free_port
@@ -36,9 +36,9 @@
         [f"i-{n}", f"{host}:{port}", "svc", "za" if n == 0 else "zb", 2, "v1", "ready", 1, 0.0, 0.0, False]
         for n, (host, port) in enumerate(addresses)
     ]
-    program.take(CORE, ["list", 1, 1, backends, True])
-    program.take(CORE, ["lease", program.session._number(time.monotonic()), 1, 3, "d", [], 1])
-    program.take(CORE, ["content", "d", version(kind)])
+    program.handle_message(CORE, ["list", 1, 1, backends, True])
+    program.handle_message(CORE, ["lease", program.session._next_request_number(time.monotonic()), 1, 3, "d", [], 1])
+    program.handle_message(CORE, ["content", "d", version(kind)])
     return program, public
 
 
@@ -55,7 +55,7 @@
 
 async def start_answering_backend() -> tuple[Booking, tuple[str, int]]:
     booking = Answering()
-    booking.may.set()
+    booking.may_answer.set()
     server = await asyncio.start_server(booking.serve, "127.0.0.1", 0)
     return booking, server.sockets[0].getsockname()[:2]
 
@@ -91,7 +91,7 @@
             began = time.monotonic()
             answer = await post(public, f"b{number}")
             assert answer.startswith(b"HTTP/1.1 200") and time.monotonic() - began < FAILOVER_S
-        assert booking.seen == [f"b{number}" for number in range(6)]
+        assert booking.attempt_ids == [f"b{number}" for number in range(6)]
         program.close()
         silent.close()
 
@@ -116,13 +116,15 @@
         booking, address = await start_answering_backend()
         program, public = await start_proxy(kind, server.sockets[0].getsockname()[:2], address)
         retries = [{}, {}, 1000]  # no quotas, no cold backends, the whole retry slack
-        program.take(CORE, ["lend", program.session._number(time.monotonic()), [1, "a"], 1, retries])
+        program.handle_message(
+            CORE, ["lend", program.session._next_request_number(time.monotonic()), [1, "a"], 1, retries]
+        )
         answer = await post(public, "b0")
-        assert crashing.seen == ["b0"]
+        assert crashing.attempt_ids == ["b0"]
         if kind == "idempotent":
-            assert booking.seen == ["b0"] and answer.startswith(b"HTTP/1.1 200")
+            assert booking.attempt_ids == ["b0"] and answer.startswith(b"HTTP/1.1 200")
         else:
-            assert booking.seen == [] and answer.startswith(b"HTTP/1.1 502")
+            assert booking.attempt_ids == [] and answer.startswith(b"HTTP/1.1 502")
         program.close()
 
     asyncio.run(asyncio.wait_for(play(), 20.0))
@@ -135,11 +137,11 @@
         booking, address = await start_answering_backend()
         program, public = await start_proxy("idempotent", server.sockets[0].getsockname()[:2], address)
         await asyncio.gather(*(post(public, f"b{number}") for number in range(4)))
-        received = len(hanging.seen)
+        received = len(hanging.attempt_ids)
         for number in range(4, 12):
             answer = await post(public, f"b{number}")
-            assert answer.startswith(b"HTTP/1.1 200") == (f"b{number}" in booking.seen)
-        assert len(hanging.seen) - received <= 1  # at most one probe whether it has recovered
+            assert answer.startswith(b"HTTP/1.1 200") == (f"b{number}" in booking.attempt_ids)
+        assert len(hanging.attempt_ids) - received <= 1  # at most one probe whether it has recovered
         program.close()
 
     asyncio.run(asyncio.wait_for(play(), 20.0))
