--- a/fennelpoint/fleet/consensus.py
+++ b/fennelpoint/fleet/consensus.py
@@ -16,24 +16,24 @@
 from fennelpoint.fleet.register import (
     ZERO,
     Accept,
+    Acceptor,
+    AcceptReply,
     Answer,
-    Cell,
     Change,
-    Hello,
-    Keeper,
-    Known,
     Message,
     Peek,
     Prepare,
+    PromiseReply,
+    RegisterState,
     Rejoin,
+    RejoinReply,
+    RejoinRequest,
     Round,
-    Seen,
-    Voted,
-    agreed,
     ballot_of,
     handle,
     majority,
-    same,
+    majority_value,
+    no_change,
 )
 from fennelpoint.fleet.rpc import CallFailed, Line
 from fennelpoint.fleet.store import Store
@@ -75,25 +75,25 @@
 # Messages as JSON and back
 
 def encode_answer(answer: Answer) -> dict:
-    if isinstance(answer, Seen):
-        return {"seen": [answer.name, answer.life, answer.ok, answer.promised, answer.accepted, answer.value]}
-    if isinstance(answer, Voted):
-        return {"voted": [answer.name, answer.life, answer.ok, answer.promised]}
-    return {"known": [answer.name, answer.votes, answer.lives,
-                      [[key, [c.promised, c.accepted, c.value]] for key, c in answer.cells]]}
+    if isinstance(answer, PromiseReply):
+        return {"seen": [answer.name, answer.incarnation, answer.ok, answer.promised, answer.accepted, answer.value]}
+    if isinstance(answer, AcceptReply):
+        return {"voted": [answer.name, answer.incarnation, answer.ok, answer.promised]}
+    return {"known": [answer.name, answer.can_vote, answer.incarnations,
+                      [[key, [c.promised, c.accepted, c.value]] for key, c in answer.registers]]}
 
 
 def decode_answer(value: Mapping) -> Answer:
     """Raises ValueError, TypeError or KeyError where it is none."""
     if "seen" in value:
         name, life, ok, promised, accepted, held = value["seen"]
-        return Seen(name, life, ok, ballot_of(promised), ballot_of(accepted), held)
+        return PromiseReply(name, life, ok, ballot_of(promised), ballot_of(accepted), held)
     if "voted" in value:
         name, life, ok, promised = value["voted"]
-        return Voted(name, life, ok, ballot_of(promised))
+        return AcceptReply(name, life, ok, ballot_of(promised))
     name, votes, lives, cells = value["known"]
-    return Known(name, votes, tuple((n, int(life)) for n, life in lives),
-                 tuple((key, Cell(ballot_of(p), ballot_of(a), held)) for key, (p, a, held) in cells))
+    return RejoinReply(name, votes, tuple((n, int(life)) for n, life in lives),
+                 tuple((key, RegisterState(ballot_of(p), ballot_of(a), held)) for key, (p, a, held) in cells))
 
 
 def encode_message(message: Message) -> dict:
@@ -104,9 +104,9 @@
             return {"do": "prepare", "key": message.key, "ballot": message.ballot}
         case Accept():
             return {"do": "accept", "key": message.key, "ballot": message.ballot, "value": message.value,
-                    "lives": message.lives}
-        case Hello():
-            return {"do": "hello", "name": message.name, "life": message.life}
+                    "lives": message.incarnations}
+        case RejoinRequest():
+            return {"do": "hello", "name": message.name, "life": message.incarnation}
 
 
 def decode_message(call: Mapping) -> Message | None:
@@ -120,7 +120,7 @@
             return Accept(str(call["key"]), ballot_of(call["ballot"]), call["value"],
                           tuple((str(name), int(life)) for name, life in call["lives"]))
         case "hello":
-            return Hello(str(call["name"]), int(call["life"]))
+            return RejoinRequest(str(call["name"]), int(call["life"]))
     return None
 
 
@@ -138,7 +138,7 @@
 
     @property
     def votes(self) -> bool:
-        return self.store.keeper.votes
+        return self.store.keeper.can_vote
 
     def answer(self, message: Message) -> Answer:
         """A message of another keeper, or our own to ourselves; on disk before it is told."""
@@ -172,12 +172,12 @@
         return [self.name, *self.lines]
 
     async def read(self, key: str) -> Held:
-        seen: dict[str, Seen] = {}
-        found: list[Seen] = []
+        seen: dict[str, PromiseReply] = {}
+        found: list[PromiseReply] = []
 
         def take(answer: Answer) -> bool:
             seen[answer.name] = answer
-            if (one := agreed(seen, self.keepers)) is not None:
+            if (one := majority_value(seen, self.keepers)) is not None:
                 found.append(one)
             return bool(found)
 
@@ -187,12 +187,12 @@
         if sum(answer.ok for answer in seen.values()) < majority(self.keepers):
             raise CallFailed(f"keeper {self.name} does not hear a majority of {self.keepers} keepers that vote")
         async with self.turn:
-            return _held(await self._agree(key, same))
+            return _held(await self._agree(key, no_change))
 
     async def change(self, key: str, expect: int, data: object, change_id: str) -> int | None:
         change = Change(expect, data, change_id)
         async with self.turn:
-            return change.made(await self._agree(key, change))
+            return change.made_revision(await self._agree(key, change))
 
     async def _agree(self, key: str, change: Callable[[object], object]) -> object:
         """What is held once a round went through; raises Unknown where none did."""
@@ -202,21 +202,21 @@
             box = [state]
 
             def take(answer: Answer, box: list[Round] = box) -> bool:
-                box[0] = box[0].heard(answer)
-                return box[0].sent is not None or box[0].lost
-
-            await self._gather(self.names, state.first, take)
-            if box[0].sent is not None:
-                await self._gather(sorted(box[0].asks), box[0].sent, lambda answer, box=box: (
-                    box.__setitem__(0, box[0].heard(answer)) or box[0].done or box[0].lost))
-                if box[0].done:
-                    return box[0].sent.value
-            self.round = max(self.round, box[0].highest[0])
+                box[0] = box[0].with_answer(answer)
+                return box[0].accept is not None or box[0].is_lost
+
+            await self._gather(self.names, state.prepare, take)
+            if box[0].accept is not None:
+                await self._gather(sorted(box[0].promised_by), box[0].accept, lambda answer, box=box: (
+                    box.__setitem__(0, box[0].with_answer(answer)) or box[0].is_agreed or box[0].is_lost))
+                if box[0].is_agreed:
+                    return box[0].accept.value
+            self.round = max(self.round, box[0].highest_ballot[0])
             await asyncio.sleep(random.uniform(0.0, 0.02 * 2 ** min(attempt, 5)))
         raise Unknown(f"keeper {self.name} got no round through in {ROUNDS} tries")
 
     def glance(self, key: str) -> Held:
-        cell = self.store.keeper.cells.get(key)
+        cell = self.store.keeper.registers.get(key)
         return _held(cell.value if cell is not None else None)
 
     # Beginnings
@@ -225,15 +225,16 @@
         """Begin a record that was never there: every keeper has to be here, and none may hold anything.
 
         Why that can't be; empty once it is done."""
-        if self.store.keeper.life:
+        if self.store.keeper.incarnation:
             return ""
-        heard: dict[str, Known] = {}
-        await self._gather(list(self.lines), Hello(self.name, 0), lambda a: heard.setdefault(a.name, a) is None)
-        if any(cell.accepted > ZERO for known in heard.values() for _, cell in known.cells):
+        heard: dict[str, RejoinReply] = {}
+        await self._gather(list(self.lines), RejoinRequest(self.name, 0),
+                           lambda a: heard.setdefault(a.name, a) is None)
+        if any(cell.accepted > ZERO for known in heard.values() for _, cell in known.registers):
             return await self.rejoin()      # there is one: this one only missed its beginning
         if missing := sorted(set(self.lines) - set(heard)):
             return f"{', '.join(missing)} can't be asked whether there is a record"
-        self.store.begin(Keeper(self.name, 1, True, {}, {}))
+        self.store.begin(Acceptor(self.name, 1, True, {}, {}))
         return ""
 
     async def rejoin(self) -> str:
@@ -241,18 +242,19 @@
         state = Rejoin(self.name, self.keepers, {})
         for _ in range(2):
             box = [state]
-            before = box[0].message
+            before = box[0].request
 
-            def take(answer: Answer, box: list[Rejoin] = box, before: Hello = before) -> bool:
-                box[0] = box[0].heard(answer)
-                return box[0].message != before or box[0].keeper is not None
+            def take(answer: Answer, box: list[Rejoin] = box, before: RejoinRequest = before) -> bool:
+                box[0] = box[0].with_reply(answer)
+                return box[0].request != before or box[0].acceptor is not None
 
-            await self._gather(list(self.lines), state.message, take)
+            await self._gather(list(self.lines), state.request, take)
             state = box[0]
-        if (keeper := state.keeper) is None:
-            return f"it takes {majority(self.keepers)} other keepers that vote, and {len(state.asked)} answer"
+        if (keeper := state.acceptor) is None:
+            return (f"it takes {majority(self.keepers)} other keepers that vote, "
+                    f"and {len(state.discovery_replies)} answer")
         self.store.begin(keeper)
-        log.warning("keeper %s has caught up and votes again, in life %d", self.name, keeper.life)
+        log.warning("keeper %s has caught up and votes again, in life %d", self.name, keeper.incarnation)
         return ""
 
     def close(self) -> None:
--- a/fennelpoint/fleet/coordinator.py
+++ b/fennelpoint/fleet/coordinator.py
@@ -28,7 +28,7 @@
     decode_message,
     encode_answer,
 )
-from fennelpoint.fleet.register import Keeper, majority
+from fennelpoint.fleet.register import Acceptor, majority
 from fennelpoint.fleet.rollout import Conductor, Step, Word
 from fennelpoint.fleet.rpc import CallFailed, Line, Service, call_once
 from fennelpoint.fleet.store import Store
@@ -73,8 +73,8 @@
         self.store = Store(Path(section.folder), name)
         self.embedded = EmbeddedRegister(self.store, peers) if register is None else None
         self.register: Register = register or self.embedded
-        if register is not None and not self.store.keeper.life:
-            self.store.begin(Keeper(name, 1, True, {}, {}))     # it holds contents and spans only
+        if register is not None and not self.store.keeper.incarnation:
+            self.store.begin(Acceptor(name, 1, True, {}, {}))     # it holds contents and spans only
         self.peers = peers
         self.conductor = Conductor()
         self.base: Base | None = None
@@ -423,7 +423,7 @@
     async def status(self, call: dict) -> dict:
         now, base = steady(), self.base
         answer = {"keeper": self.name, "votes": self.embedded.votes if self.embedded is not None else True,
-                  "life": self.store.keeper.life, "trouble": self.trouble, "clock": time.time(),
+                  "life": self.store.keeper.incarnation, "trouble": self.trouble, "clock": time.time(),
                   "taken": dict(self.conductor.taken), "refused": dict(self.refused),
                   **(await self.words(call))}
         for entry in answer["words"]:
--- a/fennelpoint/fleet/etcd.py
+++ b/fennelpoint/fleet/etcd.py
@@ -69,7 +69,7 @@
             mod, held = await self._get(key)
             after = change(held)
             if after is held:
-                return change.made(held)
+                return change.made_revision(held)
             if held is None and expect:
                 return None
             name, text = PREFIX + key.encode(), json.dumps(after).encode()
@@ -80,7 +80,7 @@
             except (aetcd.ClientError, OSError, TimeoutError) as error:
                 raise Unknown(f"etcd at {self.endpoint} gave no answer to a change: {_words(error)}") from None
             if done:
-                return change.made(after)
+                return change.made_revision(after)
         raise Unknown(f"{ROUNDS} changes at etcd, and others came before each")
 
     def glance(self, key: str) -> Held:
--- a/fennelpoint/fleet/register.py
+++ b/fennelpoint/fleet/register.py
@@ -1,12 +1,13 @@
-"""A register a key, agreed among keepers without log or leader (CASPaxos, Rystsov 2018).
+"""One register per key, replicated among acceptors without a log or a leader (CASPaxos, Rystsov 2018).
 
-Pure and without state of its own: a keeper is a frozen value and each message makes another, so that the very
-code that serves is what the model checker of the tests explores.  Messages are tuples of plain values, for the
-wire.  Ballots are (round, proposer).
+The module is pure and keeps no state: an acceptor is a frozen value and each message yields a new one, so that the
+model checker of the tests explores the very code that serves.  Messages are tuples of plain values, for the wire.
+A ballot is (round number, proposer).
 
-Beyond the paper: a keeper that lost its file comes back with a new *life* and without a vote.  Votes are bound to
-lives: an accept names the lives that promised it, and a keeper that knows of a newer life refuses it, so that
-neither a promise nor a vote of a life that is forgotten counts.  See docs/design/fleet-record.md.
+Beyond the paper: an acceptor that lost its file comes back with a new *incarnation* and without a vote.  Votes are
+bound to incarnations: an accept names the incarnations that promised it, and an acceptor that knows of a newer
+incarnation refuses it, so that neither a promise nor a vote of a lost incarnation counts.  See
+docs/design/fleet-record.md.
 """
 
 from __future__ import annotations
@@ -19,16 +20,16 @@
 
 
 def ballot_of(value: object) -> Ballot:
-    """A ballot as it came over a wire; raises ValueError or TypeError."""
+    """Validates a ballot received from the network; raises ValueError or TypeError."""
     number, name = value
     if type(number) is not int or not isinstance(name, str) or not 0 <= number < 1 << 62:
-        raise ValueError("it is no ballot")
+        raise ValueError("not a ballot: expected (round number from 0 to 2^62 - 1, proposer name)")
     return number, name
 
 
 @dataclass(frozen=True, slots=True)
-class Cell:
-    """What a keeper holds of one key."""
+class RegisterState:
+    """An acceptor's state for one key."""
 
     promised: Ballot = ZERO
     accepted: Ballot = ZERO
@@ -36,21 +37,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keeper:
-    """One keeper's whole state; what changes is to be on disk before it is told."""
+class Acceptor:
+    """The whole state of one acceptor; a change must be on disk before any answer reveals it."""
 
     name: str
-    life: int               # 0: nothing is known yet
-    votes: bool             # no: it has lost what it knew, and has not caught up
-    lives: Mapping[str, int]    # the newest life known of each other
-    cells: Mapping[str, Cell]
+    incarnation: int        # 0: no state yet
+    can_vote: bool          # false after a loss of state, until the acceptor has caught up
+    incarnations: Mapping[str, int]     # the newest known incarnation of each other acceptor
+    registers: Mapping[str, RegisterState]   # by key
 
 
-# Messages to a keeper
+# Messages to an acceptor
 
 @dataclass(frozen=True, slots=True)
 class Peek:
-    """What it has accepted; changes nothing."""
+    """Asks for the accepted value; changes nothing."""
 
     key: str
 
@@ -66,25 +67,25 @@
     key: str
     ballot: Ballot
     value: object
-    lives: tuple[tuple[str, int], ...]  # of those that promised
+    incarnations: tuple[tuple[str, int], ...]   # of the acceptors that promised
 
 
 @dataclass(frozen=True, slots=True)
-class Hello:
-    """A keeper that lost what it knew says its new life, and asks for all there is; life 0 only asks."""
+class RejoinRequest:
+    """An acceptor that lost its state announces its new incarnation and asks for all state; 0 only asks."""
 
     name: str
-    life: int
+    incarnation: int
 
 
 # Answers
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """Of Peek and Prepare: what is accepted; `ok` tells whether it is promised."""
+class PromiseReply:
+    """Answer to Peek and Prepare: the accepted value; `ok` says whether the acceptor promised (Peek: may vote)."""
 
     name: str
-    life: int
+    incarnation: int
     ok: bool
     promised: Ballot
     accepted: Ballot
@@ -92,253 +93,259 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Voted:
+class AcceptReply:
     name: str
-    life: int
+    incarnation: int
     ok: bool
     promised: Ballot
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """Of Hello: the lives that are known, and every cell."""
+class RejoinReply:
+    """Answer to RejoinRequest: the known incarnations and every register."""
 
     name: str
-    votes: bool
-    lives: tuple[tuple[str, int], ...]
-    cells: tuple[tuple[str, Cell], ...]
+    can_vote: bool
+    incarnations: tuple[tuple[str, int], ...]
+    registers: tuple[tuple[str, RegisterState], ...]
 
 
-Message = Peek | Prepare | Accept | Hello
-Answer = Seen | Voted | Known
+Message = Peek | Prepare | Accept | RejoinRequest
+Answer = PromiseReply | AcceptReply | RejoinReply
 
 
-def handle(keeper: Keeper, message: Message) -> tuple[Keeper, Answer]:
-    """A message's answer, and the keeper after it: the same value where nothing has changed."""
-    if isinstance(message, Hello):
-        if message.life > keeper.lives.get(message.name, 0):
-            keeper = replace(keeper, lives={**keeper.lives, message.name: message.life})
-        return keeper, Known(keeper.name, keeper.votes, tuple(sorted(keeper.lives.items())),
-                             tuple(sorted(keeper.cells.items())))
-    cell = keeper.cells.get(message.key, Cell())
+def handle(acceptor: Acceptor, message: Message) -> tuple[Acceptor, Answer]:
+    """Returns the acceptor after the message, the same object if nothing changed, and its answer."""
+    if isinstance(message, RejoinRequest):
+        if message.incarnation > acceptor.incarnations.get(message.name, 0):
+            acceptor = replace(acceptor, incarnations={**acceptor.incarnations, message.name: message.incarnation})
+        return acceptor, RejoinReply(acceptor.name, acceptor.can_vote, tuple(sorted(acceptor.incarnations.items())),
+                                     tuple(sorted(acceptor.registers.items())))
+    register = acceptor.registers.get(message.key, RegisterState())
     if isinstance(message, Peek):
-        return keeper, Seen(keeper.name, keeper.life, keeper.votes, cell.promised, cell.accepted, cell.value)
+        return acceptor, PromiseReply(acceptor.name, acceptor.incarnation, acceptor.can_vote, register.promised,
+                                      register.accepted, register.value)
     if isinstance(message, Prepare):
-        ok = keeper.votes and message.ballot > cell.promised
+        ok = acceptor.can_vote and message.ballot > register.promised
         if ok:
-            cell = replace(cell, promised=message.ballot)
-            keeper = replace(keeper, cells={**keeper.cells, message.key: cell})
-        return keeper, Seen(keeper.name, keeper.life, ok, cell.promised, cell.accepted, cell.value)
-    outdated = any(life < keeper.lives.get(name, 0) for name, life in message.lives if name != keeper.name)
-    named = (keeper.name, keeper.life) in message.lives
-    ok = keeper.votes and named and not outdated and message.ballot >= cell.promised
+            register = replace(register, promised=message.ballot)
+            acceptor = replace(acceptor, registers={**acceptor.registers, message.key: register})
+        return acceptor, PromiseReply(acceptor.name, acceptor.incarnation, ok, register.promised,
+                                      register.accepted, register.value)
+    is_outdated = any(incarnation < acceptor.incarnations.get(name, 0)
+                      for name, incarnation in message.incarnations if name != acceptor.name)
+    is_named = (acceptor.name, acceptor.incarnation) in message.incarnations
+    ok = acceptor.can_vote and is_named and not is_outdated and message.ballot >= register.promised
     if ok:
-        cell = Cell(message.ballot, message.ballot, message.value)
-        keeper = replace(keeper, cells={**keeper.cells, message.key: cell})
-    return keeper, Voted(keeper.name, keeper.life, ok, cell.promised)
+        register = RegisterState(message.ballot, message.ballot, message.value)
+        acceptor = replace(acceptor, registers={**acceptor.registers, message.key: register})
+    return acceptor, AcceptReply(acceptor.name, acceptor.incarnation, ok, register.promised)
 
 
-def majority(keepers: int) -> int:
-    return keepers // 2 + 1
+def majority(acceptors: int) -> int:
+    return acceptors // 2 + 1
 
 
-Groups = tuple[frozenset[str], ...]     # keepers by name; a quorum is a majority of each
+Groups = tuple[frozenset[str], ...]     # sets of acceptor names; a quorum is a majority of each set
 
 
-def holds(names: frozenset[str], groups: Groups) -> bool:
-    """Whether these names are a majority of each group."""
+def is_quorum(names: frozenset[str], groups: Groups) -> bool:
+    """Whether these names include a majority of each group."""
     return all(len(names & group) >= majority(len(group)) for group in groups)
 
 
 @dataclass(frozen=True, slots=True)
 class Round:
-    """One proposer's round over a key: prepare, change, accept.  Each answer makes another round.
+    """One proposer's round for a key: prepare, change, accept.  Each answer yields a new round.
 
-    `change` maps the value that is there to the one that shall be; the same value makes a read of it.
+    `change` maps the current value to the next; returning the same value makes the round a read.
     """
 
     key: str
     ballot: Ballot
     change: Callable[[object], object]
-    keepers: int
-    promises: tuple[Seen, ...] = ()
-    sent: Accept | None = None
+    acceptor_count: int
+    promises: tuple[PromiseReply, ...] = ()
+    accept: Accept | None = None    # set once a quorum has promised
     votes: frozenset[str] = frozenset()
     refused: frozenset[str] = frozenset()
-    highest: Ballot = ZERO      # seen in refusals: the next round goes above it
-    unread: bool = False        # the change itself could not be reckoned
-    groups: Groups = ()         # where members change: who must be asked by what is known; none: `keepers` of them
-    groups_of: Callable[[object], Groups] | None = None     # whose majorities a value needs
+    highest_ballot: Ballot = ZERO   # seen in refusals: the next round must be above it
+    is_unread: bool = False         # the change itself could not be computed
+    groups: Groups = ()         # with changing members: the groups known so far; none: `acceptor_count` acceptors
+    groups_of: Callable[[object], Groups] | None = None     # the groups whose majorities a value needs
 
-    def _enough(self, names: frozenset[str]) -> bool:
-        return len(names) >= majority(self.keepers) if self.groups_of is None else holds(names, self.groups)
+    def _is_quorum(self, names: frozenset[str]) -> bool:
+        return (len(names) >= majority(self.acceptor_count) if self.groups_of is None
+                else is_quorum(names, self.groups))
 
     @property
-    def whom(self) -> frozenset[str]:
-        """Whom the prepare goes to, where members change."""
+    def prepare_recipients(self) -> frozenset[str]:
+        """Recipients of the prepare, with changing members."""
         return frozenset().union(*self.groups)
 
     @property
-    def first(self) -> Prepare:
+    def prepare(self) -> Prepare:
         return Prepare(self.key, self.ballot)
 
     @property
-    def done(self) -> bool:
-        return self._enough(self.votes) and self.sent is not None
+    def is_agreed(self) -> bool:
+        return self._is_quorum(self.votes) and self.accept is not None
 
     @property
-    def lost(self) -> bool:
-        """No majority can be had any more in this round."""
-        if self.done:
+    def is_lost(self) -> bool:
+        """Whether this round can no longer reach a majority."""
+        if self.is_agreed:
             return False
         if self.groups_of is None:
-            return len(self.refused) > self.keepers - majority(self.keepers)
-        return any(len(self.refused & g) > len(g) - majority(len(g)) for g in self.groups)
+            return len(self.refused) > self.acceptor_count - majority(self.acceptor_count)
+        return any(len(self.refused & group) > len(group) - majority(len(group)) for group in self.groups)
 
     @property
-    def asks(self) -> frozenset[str]:
-        """Whom an accept goes to: those that promised, since their lives are named in it."""
-        return frozenset(seen.name for seen in self.promises)
+    def promised_by(self) -> frozenset[str]:
+        """Recipients of the accept: the acceptors that promised, since it names their incarnations."""
+        return frozenset(promise.name for promise in self.promises)
 
-    def heard(self, answer: Answer) -> Round:
-        """An answer to the prepare or to the accept; those that come late or twice change nothing."""
+    def with_answer(self, answer: Answer) -> Round:
+        """The round after an answer to its prepare or accept; late and duplicate answers change nothing."""
         if answer.name in self.refused:
             return self
         if not answer.ok:
-            if isinstance(answer, Seen) and self.sent is not None:
-                return self     # a late refusal to promise: the accept does not need it
+            if isinstance(answer, PromiseReply) and self.accept is not None:
+                return self     # a late refusal to promise: the accept does not need that promise
             return replace(self, refused=self.refused | {answer.name},
-                           highest=max(self.highest, answer.promised))
-        if isinstance(answer, Seen):
-            if self.sent is not None or answer.promised != self.ballot or answer.name in self.asks:
+                           highest_ballot=max(self.highest_ballot, answer.promised))
+        if isinstance(answer, PromiseReply):
+            if self.accept is not None or answer.promised != self.ballot or answer.name in self.promised_by:
                 return self
-            made = replace(self, promises=(*self.promises, answer))
-            if not made._enough(made.asks):
-                return made
-            newest = max(made.promises, key=lambda seen: seen.accepted)
+            updated = replace(self, promises=(*self.promises, answer))
+            if not updated._is_quorum(updated.promised_by):
+                return updated
+            newest = max(updated.promises, key=lambda promise: promise.accepted)
             if self.groups_of is not None and newest.value is None:
-                # Guards against a second founding: where members change, those who were asked may all be new,
-                # and a majority of them that holds nothing tells nothing.
-                return made
+                # Guards against a second founding: with changing members, all recipients may be new, and a
+                # majority of them without a value proves nothing.
+                return updated
             value = self.change(newest.value)
             if self.groups_of is not None:
-                # Guards a change of members: the value that is there and the one to be each name their own, and
-                # whoever went by an older list learns here that it is one.
+                # Guards a change of members: the current value and the proposed one each name their own groups,
+                # so a proposer with an outdated member list finds out here.
                 groups = (*self.groups, *self.groups_of(newest.value), *self.groups_of(value))
-                made = replace(made, groups=tuple(dict.fromkeys(groups)))
-                if not made._enough(made.asks):
-                    return made
-            lives = tuple(sorted((seen.name, seen.life) for seen in made.promises))
-            return replace(made, sent=Accept(self.key, self.ballot, value, lives))
-        if self.sent is None or answer.promised != self.ballot or (
-                (answer.name, answer.life) not in self.sent.lives):
+                updated = replace(updated, groups=tuple(dict.fromkeys(groups)))
+                if not updated._is_quorum(updated.promised_by):
+                    return updated
+            incarnations = tuple(sorted((promise.name, promise.incarnation) for promise in updated.promises))
+            return replace(updated, accept=Accept(self.key, self.ballot, value, incarnations))
+        if self.accept is None or answer.promised != self.ballot or (
+                (answer.name, answer.incarnation) not in self.accept.incarnations):
             return self
         return replace(self, votes=self.votes | {answer.name})
 
 
-def agreed(answers: Mapping[str, Seen], keepers: int) -> Seen | None:
-    """The value that a majority holds alike: then it is the newest there was when the first was asked.
+def majority_value(answers: Mapping[str, PromiseReply], acceptors: int) -> PromiseReply | None:
+    """An answer that a majority gives alike: its value is at least as new as any agreed before the first request.
 
-    Only answers of keepers that vote count.  None where a round has to tell.
+    Only answers of voting acceptors count.  None if a round has to decide.
     """
-    voting = [seen for seen in answers.values() if seen.ok]
-    for seen in voting:
-        if sum(other.accepted == seen.accepted for other in voting) >= majority(keepers):
-            return seen
+    voting = [answer for answer in answers.values() if answer.ok]
+    for answer in voting:
+        if sum(other.accepted == answer.accepted for other in voting) >= majority(acceptors):
+            return answer
     return None
 
 
 @dataclass(frozen=True, slots=True)
 class Rejoin:
-    """How a keeper that lost its file comes to vote again: with a life that was never used, and what others know.
+    """How an acceptor that lost its file regains its vote: an unused incarnation, and the state of the others.
 
-    It hears as many others as make a majority without it, so that each value that was ever agreed, by whatever
-    majority with its lost life in it, is among what they tell.  Where members change, the values that are told name
-    them: each change of members is with a majority of those before it, so that an old list leads on to the newer.
+    It needs replies from as many others as form a majority without it, so that every value ever agreed, even by a
+    majority that included its lost incarnation, is among the replies.  With changing members, the values in the
+    replies name them: each change of members is agreed with a majority of the members before it, so that an
+    outdated list leads to the newer one.
     """
 
     name: str
-    keepers: int
-    asked: Mapping[str, Known]      # answers to Hello with life 0
-    life: int = 0
-    told: Mapping[str, Known] | None = None     # answers to Hello with the new life
-    groups: Groups = ()         # where members change: by what is known without asking
+    acceptor_count: int
+    discovery_replies: Mapping[str, RejoinReply]    # to the request with incarnation 0
+    incarnation: int = 0
+    state_replies: Mapping[str, RejoinReply] | None = None  # to the request with the new incarnation
+    groups: Groups = ()         # with changing members: the groups known in advance
     groups_of: Callable[[object], Groups] | None = None
 
-    def _enough(self, heard: Mapping[str, Known]) -> bool:
+    def _is_enough(self, replies: Mapping[str, RejoinReply]) -> bool:
         if self.groups_of is None:
-            return len(heard) >= majority(self.keepers)
-        cells = [cell for known in heard.values() for _, cell in known.cells]
-        newest = max(cells, key=lambda cell: cell.accepted, default=Cell())
+            return len(replies) >= majority(self.acceptor_count)
+        registers = [register for reply in replies.values() for _, register in reply.registers]
+        newest = max(registers, key=lambda register: register.accepted, default=RegisterState())
         if newest.value is None:
-            return False    # all voters of a core that was founded hold one: it is not known yet whom to hear
+            return False    # every voter of a founded core has a value: the members to ask are not known yet
         for group in (*self.groups, *self.groups_of(newest.value)):
-            # With its own lost vote in a majority, there are one fewer others in that: one more is to be heard.
-            if len(group & heard.keys() - {self.name}) < majority(len(group)):
+            # A majority may have included its own lost vote and thus one fewer of the others: one more must reply.
+            if len(group & replies.keys() - {self.name}) < majority(len(group)):
                 return False
         return True
 
     @property
-    def message(self) -> Hello:
-        return Hello(self.name, self.life)
-
-    def heard(self, answer: Known) -> Rejoin:
-        if not answer.votes or answer.name == self.name:
-            return self     # another that has lost what it knew
-        if self.told is not None:
-            knows = dict(answer.lives).get(self.name, 0) == self.life
-            return replace(self, told={**self.told, answer.name: answer}) if knows else self
-        made = replace(self, asked={**self.asked, answer.name: answer})
-        if not self._enough(made.asked):
-            return made
-        # Every keeper's first life is 1, and nobody was told of it.
-        newest = max(dict(known.lives).get(self.name, 1) for known in made.asked.values())
-        return replace(made, life=newest + 1, told={})
+    def request(self) -> RejoinRequest:
+        return RejoinRequest(self.name, self.incarnation)
+
+    def with_reply(self, reply: RejoinReply) -> Rejoin:
+        """The state after a reply; replies of acceptors without a vote and duplicates change nothing."""
+        if not reply.can_vote or reply.name == self.name:
+            return self     # another acceptor that lost its state
+        if self.state_replies is not None:
+            is_current = dict(reply.incarnations).get(self.name, 0) == self.incarnation
+            return replace(self, state_replies={**self.state_replies, reply.name: reply}) if is_current else self
+        updated = replace(self, discovery_replies={**self.discovery_replies, reply.name: reply})
+        if not updated._is_enough(updated.discovery_replies):
+            return updated
+        # Every acceptor's first incarnation is 1, which it announces to no other acceptor.
+        newest = max(dict(known.incarnations).get(self.name, 1) for known in updated.discovery_replies.values())
+        return replace(updated, incarnation=newest + 1, state_replies={})
 
     @property
-    def keeper(self) -> Keeper | None:
-        """The keeper as it votes again; none as long as too few have answered."""
-        if self.told is None or not self._enough(self.told):
+    def acceptor(self) -> Acceptor | None:
+        """The acceptor with its vote restored; None until enough others have replied."""
+        if self.state_replies is None or not self._is_enough(self.state_replies):
             return None
-        cells: dict[str, Cell] = {}
-        lives: dict[str, int] = {}
-        for known in self.told.values():
-            for name, life in known.lives:
-                lives[name] = max(life, lives.get(name, 0))
-            for key, cell in known.cells:
-                old = cells.get(key, Cell())
-                newest = max(old, cell, key=lambda c: c.accepted)
-                cells[key] = Cell(max(old.promised, cell.promised), newest.accepted, newest.value)
-        lives.pop(self.name, None)
-        return Keeper(self.name, self.life, True, lives, cells)
+        registers: dict[str, RegisterState] = {}
+        incarnations: dict[str, int] = {}
+        for reply in self.state_replies.values():
+            for name, incarnation in reply.incarnations:
+                incarnations[name] = max(incarnation, incarnations.get(name, 0))
+            for key, register in reply.registers:
+                old = registers.get(key, RegisterState())
+                newest = max(old, register, key=lambda candidate: candidate.accepted)
+                registers[key] = RegisterState(max(old.promised, register.promised), newest.accepted, newest.value)
+        incarnations.pop(self.name, None)
+        return Acceptor(self.name, self.incarnation, True, incarnations, registers)
 
 
 # Values with revisions
 
-MOST_IDS = 64       # changes that are remembered by their ids
+MAX_REMEMBERED_IDS = 64     # ids of the latest changes, kept in the value
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A compare-and-set: `value` in place of revision `expect`, once, however often it is tried."""
+    """A compare-and-set: replaces the data of revision `expected_revision`, once, however often it is retried."""
 
-    expect: int
-    value: object
+    expected_revision: int
+    data: object
     id: str
 
-    def __call__(self, held: object) -> object:
-        """What is held after it: {rev, data, ids}; unchanged where it was made already or came too late."""
-        held = held or {"rev": 0, "data": None, "ids": []}
-        if any(made == self.id for made, _ in held["ids"]) or held["rev"] != self.expect:
-            return held
-        rev = held["rev"] + 1
-        return {"rev": rev, "data": self.value, "ids": [*held["ids"], [self.id, rev]][-MOST_IDS:]}
+    def __call__(self, value: object) -> object:
+        """The next value {rev, data, ids}; unchanged if the change was made already or its revision has passed."""
+        value = value or {"rev": 0, "data": None, "ids": []}
+        if any(made == self.id for made, _ in value["ids"]) or value["rev"] != self.expected_revision:
+            return value
+        rev = value["rev"] + 1
+        return {"rev": rev, "data": self.data, "ids": [*value["ids"], [self.id, rev]][-MAX_REMEMBERED_IDS:]}
 
-    def made(self, held: object) -> int | None:
-        """The revision that it made, by what is held now; none where another came first."""
-        return next((rev for made, rev in (held or {"ids": []})["ids"] if made == self.id), None)
+    def made_revision(self, value: object) -> int | None:
+        """The revision that this change made, according to the current value; None if another came first."""
+        return next((rev for made, rev in (value or {"ids": []})["ids"] if made == self.id), None)
 
 
-def same(held: object) -> object:
-    """The change of a read."""
-    return held
+def no_change(value: object) -> object:
+    """The change of a round that only reads."""
+    return value
--- a/fennelpoint/fleet/store.py
+++ b/fennelpoint/fleet/store.py
@@ -14,7 +14,7 @@
 from hashlib import sha256
 from pathlib import Path
 
-from fennelpoint.fleet.register import Cell, Keeper
+from fennelpoint.fleet.register import Acceptor, RegisterState
 from fennelpoint.rate_limited_log import log
 
 SCHEMA = 1
@@ -69,7 +69,7 @@
             self.path.rename(aside)
             self.keeper = self._open()
 
-    def _open(self) -> Keeper:
+    def _open(self) -> Acceptor:
         fresh = not self.path.exists()
         self.db = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False)
         self.db.execute("PRAGMA synchronous=FULL")
@@ -84,39 +84,39 @@
         if not about:
             if not ours or self.db.execute("SELECT COUNT(*) FROM cells").fetchone()[0]:
                 raise BadStore("it is no keeper's")
-            return Keeper(self.name, 0, False, {}, {})
+            return Acceptor(self.name, 0, False, {}, {})
         if about.get("schema") != str(SCHEMA) or about.get("name") != self.name:
             raise BadStore(f"it is of keeper {about.get('name')!r} with schema {about.get('schema')!r}")
         rows = list(self.db.execute("SELECT key, value, digest FROM cells ORDER BY key"))
         if about.get("cells") != _sum(rows):
             raise BadStore("its cells are not those that it had")
         cells = {key: _cell(value, digest) for key, value, digest in rows}
-        return Keeper(self.name, int(about["life"]), True, dict(self.db.execute("SELECT * FROM lives")), cells)
+        return Acceptor(self.name, int(about["life"]), True, dict(self.db.execute("SELECT * FROM lives")), cells)
 
-    def begin(self, keeper: Keeper) -> None:
+    def begin(self, keeper: Acceptor) -> None:
         """Vote as this from now on: a record that is founded, or what others knew."""
         self.db.execute("BEGIN IMMEDIATE")
         self.db.execute("DELETE FROM cells")
         self._about(keeper)
-        for key in keeper.cells:
+        for key in keeper.registers:
             self._write(keeper, key)
         self._seal()
         self.db.execute("COMMIT")
         self.keeper = keeper
 
-    def _about(self, keeper: Keeper) -> None:
-        rows = [("schema", str(SCHEMA)), ("name", keeper.name), ("life", str(keeper.life))]
+    def _about(self, keeper: Acceptor) -> None:
+        rows = [("schema", str(SCHEMA)), ("name", keeper.name), ("life", str(keeper.incarnation))]
         self.db.executemany("INSERT OR REPLACE INTO about VALUES (?, ?)", rows)
-        self.db.executemany("INSERT OR REPLACE INTO lives VALUES (?, ?)", list(keeper.lives.items()))
+        self.db.executemany("INSERT OR REPLACE INTO lives VALUES (?, ?)", list(keeper.incarnations.items()))
 
-    def _write(self, keeper: Keeper, key: str) -> None:
-        cell = keeper.cells[key]
+    def _write(self, keeper: Acceptor, key: str) -> None:
+        cell = keeper.registers[key]
         text = json.dumps([cell.promised, cell.accepted, cell.value], separators=(",", ":"))
         self.db.execute("INSERT OR REPLACE INTO cells VALUES (?, ?, ?)", (key, text, _digest(text)))
 
-    def keep(self, keeper: Keeper, key: str | None) -> None:
+    def keep(self, keeper: Acceptor, key: str | None) -> None:
         """What a message changed: one cell, or the lives that are known."""
-        if keeper is self.keeper or not keeper.votes:
+        if keeper is self.keeper or not keeper.can_vote:
             self.keeper = keeper
             return      # what one without a vote knows counts for nothing
         self.db.execute("BEGIN IMMEDIATE")
@@ -224,8 +224,8 @@
     return sha256(text.encode()).hexdigest()
 
 
-def _cell(text: str, digest: str) -> Cell:
+def _cell(text: str, digest: str) -> RegisterState:
     if _digest(text) != digest:
         raise BadStore("a cell's checksum does not fit")
     promised, accepted, value = json.loads(text)
-    return Cell(tuple(promised), tuple(accepted), value)
+    return RegisterState(tuple(promised), tuple(accepted), value)
--- a/fennelpoint/system/store/__init__.py
+++ b/fennelpoint/system/store/__init__.py
@@ -1,1 +1,1 @@
-"""`writ`: keeps the configuration, evacuations and members, each version agreed by ballots among a majority."""
+"""The store (`writ`): replicates the configuration, evacuations and members, each version agreed by a majority."""
--- a/fennelpoint/system/store/failure_detector.py
+++ b/fennelpoint/system/store/failure_detector.py
@@ -1,9 +1,10 @@
-"""When a member of the core counts as gone for good, by what a majority of the voters sees.
+"""Failure detector of the core: when a member counts as lost for good, by the reports of a majority of the voters.
 
-A voter looks to which members its store has no connection, and since when; the first voter in line asks the others.
-One of whom a majority has been without a connection for long enough makes room: a voter for a machine that stands
-by with the newest content, a machine that stands by for nobody.  A machine that came to stand by since is taken for
-its successor, and waits less.  To replace one that is only cut off is harmless: it learns so, and stands by.
+Each voter notes which members its replica has no connection to, and since when; the first voter in line asks the
+others for their reports.  A member that a majority has been unable to reach for long enough is removed: a voter is
+replaced by a standby that holds the newest content, a standby is removed without replacement.  A machine that became
+a standby after the connection loss is taken for the successor of the lost voter, which is then replaced sooner.
+Replacing a voter that is only partitioned off is harmless: it learns of its removal and becomes a standby.
 """
 
 from __future__ import annotations
@@ -11,77 +12,81 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from fennelpoint.system.store.replicated_state import Change, forget, take_place
+from fennelpoint.system.store.replicated_state import Change, remove_standbys, replace_voter
 
-GONE = 8.0          # s without a connection after which a voter is replaced: twice `catch_up_s`
-SUCCEEDED = 2.0     # s of the same where a successor came since: with that it is ready within `catch_up_s`
-FORGOTTEN = 30.0    # s after which one that stands by is taken out: longer than cuts that end
-ANSWER = 1.2        # s that another voter's word counts
+VOTER_TIMEOUT_S = 8.0       # without a connection, after which a voter is replaced: twice `catch_up_s`
+SUCCESSOR_TIMEOUT_S = 2.0   # the same if a successor came since: with that it is ready within `catch_up_s`
+STANDBY_TIMEOUT_S = 30.0    # without a connection, after which a standby is removed: longer than transient partitions
+REPORT_TTL_S = 1.2          # for which another member's report is valid
 
 
 @dataclass(slots=True)
-class Said:
-    """What another member told last: the digest of the content that it holds, and whom it misses, for how long."""
+class Report:
+    """Another member's latest report: the digest of the content it holds, and for how long it can't reach whom."""
 
-    at: float
+    received_at: float
     digest: str | None
-    missed: dict[str, float]
+    unreachable_s: dict[str, float]
 
 
 @dataclass(slots=True)
-class Watch:
-    """One store's view of who is there."""
+class FailureDetector:
+    """One replica's view of which members are reachable."""
 
     me: str
-    silent: dict[str, float] = field(default_factory=dict)      # members without a connection, and since when
-    came: dict[str, float] = field(default_factory=dict)        # those that stand by, and when we learnt of it
-    said: dict[str, Said] = field(default_factory=dict)
-    begun: bool = False
-
-    def look(self, world: dict, up: set[str], now: float) -> None:
-        """Note who is connected."""
-        # Those that stood by before we knew anything succeed nobody.
-        new, self.begun = now if self.begun else -1e9, True
-        self.came = {ip: self.came.get(ip, new) for ip in world["ready"]}
-        absent = ({*world["voters"], *world["ready"]} - up) - {self.me}
-        self.silent = {ip: self.silent.get(ip, now) for ip in absent}
-
-    def missed(self, now: float) -> dict[str, float]:
-        """Who has been silent for so many seconds."""
-        return {ip: now - since for ip, since in self.silent.items()}
-
-    def first(self, world: dict) -> bool:
-        """Whether we are the first in line of the voters that we hear."""
-        return self.me == min(world["voters"].keys() - self.silent.keys(), default=None)
-
-    def _places(self, world: dict, able: frozenset[str], regions: dict[str, str], now: float
-                ) -> Iterator[tuple[str, float, Change]]:
-        """Who is due to make room by our own view, the span that a majority is to miss it for, and the change."""
-        for ip, span in sorted(self.missed(now).items()):
-            if ip not in world["voters"]:
-                if span >= FORGOTTEN:
-                    yield ip, FORGOTTEN, forget([ip])
+    unreachable_since: dict[str, float] = field(default_factory=dict)   # by member without a connection
+    standby_since: dict[str, float] = field(default_factory=dict)       # by standby: when this replica learnt of it
+    reports: dict[str, Report] = field(default_factory=dict)
+    has_observed: bool = False
+
+    def observe(self, state: dict, connected: set[str], now: float) -> None:
+        """Records which members are connected."""
+        # Standbys of the first observation may be older than any connection loss: they are no successors.
+        new, self.has_observed = now if self.has_observed else -1e9, True
+        self.standby_since = {ip: self.standby_since.get(ip, new) for ip in state["ready"]}
+        absent = ({*state["voters"], *state["ready"]} - connected) - {self.me}
+        self.unreachable_since = {ip: self.unreachable_since.get(ip, now) for ip in absent}
+
+    def unreachable_s(self, now: float) -> dict[str, float]:
+        """For how many seconds each unreachable member has been without a connection."""
+        return {ip: now - since for ip, since in self.unreachable_since.items()}
+
+    def is_first_voter(self, state: dict) -> bool:
+        """Whether this replica is the first in line of the voters that it can reach."""
+        return self.me == min(state["voters"].keys() - self.unreachable_since.keys(), default=None)
+
+    def _removals(self, state: dict, eligible: frozenset[str], regions: dict[str, str], now: float
+                  ) -> Iterator[tuple[str, float, Change]]:
+        """Members due for removal by this view, the seconds a majority must have missed each, and the change."""
+        for ip, silence_s in sorted(self.unreachable_s(now).items()):
+            if ip not in state["voters"]:
+                if silence_s >= STANDBY_TIMEOUT_S:
+                    yield ip, STANDBY_TIMEOUT_S, remove_standbys([ip])
                 continue
-            since = frozenset(one for one in able if self.came.get(one, -1e9) >= self.silent[ip])
-            for least, those in ((SUCCEEDED, since), (GONE, able)):
-                change = take_place(ip, those, regions, world["digest"])
-                # Whoever stands by may fit no place: a round that changes nothing would be in others' way.
-                if span >= least and change(world) is not world:
-                    yield ip, least, change
-
-    def asks(self, world: dict, regions: dict[str, str], now: float) -> bool:
-        """Whether the others are to be asked: somebody has been silent for long, and it would change something."""
-        able = frozenset(world["ready"].keys() - self.silent.keys())
-        return any(True for _ in self._places(world, able, regions, now))
-
-    def due(self, world: dict, regions: dict[str, str], now: float) -> Change | None:
-        """The change of members that the voters' words allow, one at a time; none while another is under way."""
-        if world["before"]:
+            successors = frozenset(standby for standby in eligible
+                                   if self.standby_since.get(standby, -1e9) >= self.unreachable_since[ip])
+            for timeout_s, candidates in ((SUCCESSOR_TIMEOUT_S, successors), (VOTER_TIMEOUT_S, eligible)):
+                change = replace_voter(ip, candidates, regions, state["digest"])
+                # No candidate may be eligible for this place: a round without effect would obstruct others' rounds.
+                if silence_s >= timeout_s and change(state) is not state:
+                    yield ip, timeout_s, change
+
+    def needs_reports(self, state: dict, regions: dict[str, str], now: float) -> bool:
+        """Whether to ask the others for reports: a member timed out here, and its removal would have an effect."""
+        eligible = frozenset(state["ready"].keys() - self.unreachable_since.keys())
+        return any(True for _ in self._removals(state, eligible, regions, now))
+
+    def next_change(self, state: dict, regions: dict[str, str], now: float) -> Change | None:
+        """The change of members that the voters' reports allow, one at a time; None while another is under way."""
+        if state["before"]:
             return None
-        here = {ip: s for ip, s in self.said.items() if now - s.at < ANSWER and ip not in self.silent}
-        able = frozenset(ip for ip, s in here.items() if ip in world["ready"] and s.digest == world["digest"])
-        for ip, least, change in self._places(world, able, regions, now):
-            without = 1 + sum(s.missed.get(ip, 0.0) >= least for v, s in here.items() if v in world["voters"])
-            if 2 * without > len(world["voters"]):  # a majority of the voters, we among them
+        reports = {ip: r for ip, r in self.reports.items()
+                   if now - r.received_at < REPORT_TTL_S and ip not in self.unreachable_since}
+        eligible = frozenset(ip for ip, r in reports.items()
+                             if ip in state["ready"] and r.digest == state["digest"])
+        for ip, timeout_s, change in self._removals(state, eligible, regions, now):
+            missed_by = 1 + sum(r.unreachable_s.get(ip, 0.0) >= timeout_s
+                                for voter, r in reports.items() if voter in state["voters"])
+            if 2 * missed_by > len(state["voters"]):    # a majority of the voters, including this replica
                 return change
         return None
--- a/fennelpoint/system/store/idempotency.py
+++ b/fennelpoint/system/store/idempotency.py
@@ -1,9 +1,10 @@
-"""The memory of orders that were taken, so that one that is sent again is acknowledged and never refused.
+"""Memory of accepted operator requests, so that a retried request is acknowledged instead of refused.
 
-The newest stand in the agreed value (`past`, as [version, digest of the call]); older ones in *segments*: contents
-that never change, held by a majority like a configuration before the value names them (`log`, oldest first, as
-[newest version in it, digest]).  `floor` is the highest version that was let go: of an order at or below it that is
-found nowhere, nothing is known.  Versions only rise, so each has its one place.  Pure.
+The newest requests are in the agreed state (`past`, as [version, digest of the request]).  Older ones are in
+*segments*: immutable contents that, like a configuration, a majority holds before the state refers to them (`log`,
+oldest first, as [newest version in the segment, digest]).  `floor` is the highest version that was discarded: the
+outcome of a request at or below the floor that is found nowhere is unknown.  Versions only rise, so each request can
+be in one place only.  The module is pure.
 """
 
 from __future__ import annotations
@@ -12,91 +13,93 @@
 import zlib
 from collections.abc import Callable
 
-FULL = 32           # orders in the agreed value from which on its oldest go into a segment
-MOVED = 16          # that go at a time
-MOST = 64           # in the agreed value, where no segment can be written: the oldest are let go
-IN_SEGMENT = 512    # orders from which on a segment is left as it is
-SEGMENTS = 8        # that are kept: 3,584 orders at least
+ARCHIVE_THRESHOLD_REQUESTS = 32     # in the agreed state: from here on its oldest move into a segment
+ARCHIVE_BATCH_REQUESTS = 16         # that move into a segment at a time
+MAX_RECENT_REQUESTS = 64            # in the agreed state if no segment can be written: the oldest are discarded
+FULL_SEGMENT_REQUESTS = 512         # in a segment: from here on it does not grow any more
+MAX_SEGMENTS = 8                    # with these, at least 3,584 requests are remembered
 
-Content = Callable[[str], bytes | None]     # by digest; None: it is not here
+Content = Callable[[str], bytes | None]     # a content by its digest; None: not on this machine
 
 
-def needed(world: dict) -> tuple[str, ...]:
-    """Digests of all contents that an agreed value names: its configuration's, and its segments'."""
-    return (*((world["digest"],) if world["digest"] else ()), *(digest for _, digest in world.get("log", ())))
+def referenced_digests(state: dict) -> tuple[str, ...]:
+    """Digests of all contents that an agreed state refers to: its configuration and its segments."""
+    return (*((state["digest"],) if state["digest"] else ()), *(digest for _, digest in state.get("log", ())))
 
 
-def upgrade(world: dict) -> dict:
-    """A value of before there were segments, as one of now: what it had forgotten can't be told."""
-    if "log" in world:
-        return world
-    return {**world, "log": [], "floor": lowest(world["past"])}
+def upgrade(state: dict) -> dict:
+    """Converts a state from before segments existed; the requests that it had discarded are unknown."""
+    if "log" in state:
+        return state
+    return {**state, "log": [], "floor": initial_floor(state["past"])}
 
 
-def lowest(past: list) -> int:
-    """The floor of a memory that told none: it held 48 orders, and below the oldest of so many nothing is known."""
+def initial_floor(past: list) -> int:
+    """The floor for a state without one: those kept 48 requests, and nothing is known below the oldest of 48."""
     return past[0][0] - 1 if len(past) >= 48 else 0
 
 
-def floor_of(world: dict) -> int:
-    """The floor once segments are left behind, as by a snapshot."""
-    return max([world["floor"], *(newest for newest, _ in world["log"])])
+def floor_of(state: dict) -> int:
+    """The floor without the segments, as in a snapshot, which does not include them."""
+    return max([state["floor"], *(newest for newest, _ in state["log"])])
 
 
-def pack(orders: list) -> bytes:
-    """A segment's content."""
-    return zlib.compress(json.dumps(orders, separators=(",", ":")).encode(), 6)
+def pack(requests: list) -> bytes:
+    """Encodes a segment."""
+    return zlib.compress(json.dumps(requests, separators=(",", ":")).encode(), 6)
 
 
 def unpack(data: bytes) -> list:
+    """Decodes a segment."""
     return json.loads(zlib.decompress(data))
 
 
-def taken(world: dict, version: int, sent: str, content: Content) -> bool | None:
-    """Whether an order was taken by this value or one before it; None: that can't be known here and now."""
-    past, log = world["past"], world["log"]
-    if version > world["version"]:
+def was_accepted(state: dict, version: int, request_digest: str, content: Content) -> bool | None:
+    """Whether this state or an earlier one accepted the request; None: this machine can't tell at present."""
+    past, log = state["past"], state["log"]
+    if version > state["version"]:
         return False
     if past and version >= past[0][0]:
-        return [version, sent] in past
+        return [version, request_digest] in past
     for newest, digest in log:
         if version <= newest:
             if (data := content(digest)) is None:
                 return None
-            if [version, sent] in unpack(data):
+            if [version, request_digest] in unpack(data):
                 return True
             break
-    return None if version <= world["floor"] else False
+    return None if version <= state["floor"] else False
 
 
-def remember(world: dict, version: int, sent: str) -> dict:
-    """The fields of the value that change with an order that is taken."""
-    past = [*world["past"], [version, sent]]
-    gone = past[:-MOST]
-    return {"past": past[-MOST:], "floor": max([world["floor"], *(v for v, _ in gone)])}
+def remember(state: dict, version: int, request_digest: str) -> dict:
+    """The fields of the state that change when a request is accepted."""
+    past = [*state["past"], [version, request_digest]]
+    discarded = past[:-MAX_RECENT_REQUESTS]
+    return {"past": past[-MAX_RECENT_REQUESTS:], "floor": max([state["floor"], *(v for v, _ in discarded)])}
 
 
-def next_segment(world: dict, content: Content) -> tuple[list, bool, bytes] | None:
-    """Orders to leave the agreed value, whether the newest segment is replaced, and the content; None: they stay.
+def next_segment(state: dict, content: Content) -> tuple[list, bool, bytes] | None:
+    """The requests to move out of the agreed state, whether the newest segment is replaced, and the new segment.
 
-    The newest segment grows by being replaced, unless it is full or not here to be added to.
+    None if no requests need to move.  The newest segment grows by being replaced, unless it is full or not on this
+    machine.
     """
-    if len(world["past"]) < FULL:
+    if len(state["past"]) < ARCHIVE_THRESHOLD_REQUESTS:
         return None
-    moved, before = world["past"][:MOVED], []
-    if world["log"] and (data := content(world["log"][-1][1])) is not None:
-        before = unpack(data)
-    replaces = 0 < len(before) < IN_SEGMENT
-    return moved, replaces, pack([*(before if replaces else []), *moved])
+    moved, existing = state["past"][:ARCHIVE_BATCH_REQUESTS], []
+    if state["log"] and (data := content(state["log"][-1][1])) is not None:
+        existing = unpack(data)
+    replaces = 0 < len(existing) < FULL_SEGMENT_REQUESTS
+    return moved, replaces, pack([*(existing if replaces else []), *moved])
 
 
-def put_away(world: dict, moved: list, last: list, segment: list, replaces: bool) -> dict:
-    """The value once a segment holds the orders that are moved; the same one where it went on since.
+def archive(state: dict, moved: list, last: list, segment: list, replaces: bool) -> dict:
+    """The state once a segment holds the moved requests; the same object if the state has changed meanwhile.
 
-    `last` is the newest segment, or none, that this one was made after.
+    `last` holds the segment that was the newest when this one was built, or is empty.
     """
-    if world["past"][:len(moved)] != moved or world["log"][-1:] != last:
-        return world
-    log = [*(world["log"][:-1] if replaces else world["log"]), segment]
-    floor = max([world["floor"], *(newest for newest, _ in log[:-SEGMENTS])])
-    return {**world, "past": world["past"][len(moved):], "log": log[-SEGMENTS:], "floor": floor}
+    if state["past"][:len(moved)] != moved or state["log"][-1:] != last:
+        return state
+    log = [*(state["log"][:-1] if replaces else state["log"]), segment]
+    floor = max([state["floor"], *(newest for newest, _ in log[:-MAX_SEGMENTS])])
+    return {**state, "past": state["past"][len(moved):], "log": log[-MAX_SEGMENTS:], "floor": floor}
--- a/fennelpoint/system/store/program.py
+++ b/fennelpoint/system/store/program.py
@@ -1,4 +1,4 @@
-"""The process of the store: sockets, disk and clock round `replica.Store`."""
+"""The store process: sockets, disk and clock around `replica.Replica`."""
 
 from __future__ import annotations
 
@@ -13,25 +13,27 @@
 from fennelpoint.system.graceful_shutdown import within
 from fennelpoint.system.mesh import Mesh, ip_of, name
 from fennelpoint.system.settings import Settings
-from fennelpoint.system.store.replica import KEY, ROLL, Note, Save, SaveContent, Send, Store, Whole
+from fennelpoint.system.store.replica import KEY, REGISTRY, DiskSynced, Note, Replica, Save, SaveContent, Send
 
-TICK = 0.02     # s
+TICK_S = 0.02
 
 
 class Program:
-    """Carries out what the decider says, in order."""
+    """Executes the replica's actions, in order."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings) -> None:
         self.loop, self.settings, me = loop, settings, settings.ip_address
         self.disk = Disk(Path(settings.data_directory or "/tmp") / "writ", me, alone=True)
-        self.contents: dict[str, bytes] = {}
-        self.mesh = Mesh(loop, "writ", me, settings.internal_ports, self.take, self.linked)
-        self.store = Store(me, settings.availability_zone, settings.zones, settings.seeds, self.disk.keeper,
-                           settings.first_start and me in settings.seeds, self.content, Random(), time.monotonic())
-        self.store.leaving.most = within(settings.rule_bounds.grace_period_s)
+        self.contents: dict[str, bytes] = {}    # cache of contents on disk, by digest
+        self.mesh = Mesh(loop, "writ", me, settings.internal_ports, self.receive, self.connection_changed)
+        self.replica = Replica(me, settings.availability_zone, settings.zones, settings.seeds, self.disk.keeper,
+                               settings.first_start and me in settings.seeds, self.content, Random(),
+                               time.monotonic())
+        self.replica.leaving.most = within(settings.rule_bounds.grace_period_s)
         self.stopped = loop.create_future()
 
     def content(self, digest: str) -> bytes | None:
+        """The content on disk with this digest."""
         if digest not in self.contents and (data := self.disk.content(digest)) is not None:
             self.contents[digest] = data
         return self.contents.get(digest)
@@ -41,27 +43,29 @@
         self._tick()
 
     def _tick(self) -> None:
-        self.loop.call_later(TICK, self._tick)
-        self.carry_out(self.store.tick(time.monotonic()))
-        if self.store.gone(time.monotonic()) and not self.stopped.done():
+        self.loop.call_later(TICK_S, self._tick)
+        self.execute(self.replica.tick(time.monotonic()))
+        if self.replica.can_exit(time.monotonic()) and not self.stopped.done():
             self.stopped.set_result(None)
-        self.mesh.dial({name("writ", ip) for ip in self.store.peers} | {name("roll", self.settings.ip_address)})
+        self.mesh.dial({name("writ", ip) for ip in self.replica.peers} | {name("roll", self.settings.ip_address)})
 
-    def take(self, peer: str, message: list) -> None:
-        own = peer == name("roll", self.settings.ip_address)
-        if peer.startswith("writ@") or own:
-            self.carry_out(self.store.heard(ROLL if own else ip_of(peer), message, time.monotonic()))
+    def receive(self, peer: str, message: list) -> None:
+        """Handles a message of another replica or of the local registry; ignores any other sender."""
+        is_local_registry = peer == name("roll", self.settings.ip_address)
+        if peer.startswith("writ@") or is_local_registry:
+            self.execute(self.replica.receive(REGISTRY if is_local_registry else ip_of(peer), message,
+                                              time.monotonic()))
 
-    def linked(self, peer: str, up: bool) -> None:
+    def connection_changed(self, peer: str, is_connected: bool) -> None:
         if peer.startswith("writ@"):
-            self.carry_out(self.store.linked(ip_of(peer), up, time.monotonic()))
+            self.execute(self.replica.connection_changed(ip_of(peer), is_connected, time.monotonic()))
 
-    def carry_out(self, actions: list) -> None:
-        """Guards what is said: once a write fails, nothing that comes after it goes out."""
+    def execute(self, actions: list) -> None:
+        """Executes actions up to the first failed write, so that no message reveals what is not on disk."""
         for action in actions:
             match action:
                 case Send(to, message):
-                    self.mesh.send(name("roll", self.settings.ip_address) if to == ROLL else name("writ", to),
+                    self.mesh.send(name("roll", self.settings.ip_address) if to == REGISTRY else name("writ", to),
                                    message)
                 case Note(event, fields):
                     say(Event[event], **fields)
@@ -69,32 +73,32 @@
                     try:
                         self._save(action)
                     except (sqlite3.Error, OSError) as error:
-                        if not self.store.ill:
+                        if not self.replica.disk_error:
                             say(Event.DISK, step=type(action).__name__, reason=error)
                         self.disk.undo()
-                        self.store.sick(str(error))
+                        self.replica.disk_failed(str(error))
                         return
-                case Whole():
-                    self.store.well()
+                case DiskSynced():
+                    self.replica.disk_recovered()
 
     def _save(self, action: Save | SaveContent) -> None:
         if isinstance(action, SaveContent):
-            for gone in self.disk.add_content(action.digest, action.data, time.time(), action.needed):
-                self.contents.pop(gone, None)   # what is told to be stored is on disk
+            for evicted in self.disk.add_content(action.digest, action.data, time.time(), action.retained):
+                self.contents.pop(evicted, None)    # a content that is reported as stored must be on disk
             self.contents[action.digest] = action.data
             while len(self.contents) > 8:
                 self.contents.pop(next(iter(self.contents)))
-        elif action.whole:
-            self.disk.begin(action.keeper)
+        elif action.is_full:
+            self.disk.begin(action.acceptor)
         else:
-            self.disk.keep(action.keeper, KEY if action.cell else None)
+            self.disk.keep(action.acceptor, KEY if action.has_register else None)
 
     def reload(self, settings: Settings) -> None:
-        self.store.peers.update(set(settings.seeds) - {settings.ip_address})
+        self.replica.peers.update(set(settings.seeds) - {settings.ip_address})
 
     def stop(self) -> None:
-        """Leave in order; the tick tells when that is done."""
-        self.carry_out(self.store.leave(time.monotonic()))
+        """Begins a graceful shutdown; the tick resolves `stopped` once it is complete."""
+        self.execute(self.replica.leave(time.monotonic()))
 
     def close(self) -> None:
         self.mesh.close()
--- a/fennelpoint/testing/core_invariants.py
+++ b/fennelpoint/testing/core_invariants.py
@@ -9,7 +9,7 @@
 from fennelpoint.system.registry.grants import WHOLE
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store import replica as writ
-from fennelpoint.system.store.idempotency import needed
+from fennelpoint.system.store.idempotency import referenced_digests
 from fennelpoint.testing.core_calls import STEP, TENANTS
 from fennelpoint.testing.core_machines import Broken, Core, Front
 
@@ -103,8 +103,12 @@
 
     def _check_voters(self) -> None:
         for core in self.world.cores.values():
-            cell = core.disk.cells.get(writ.KEY) if core.disk is not None and core.disk.votes else None
-            if cell is not None and cell.value and any(d not in core.contents for d in needed(cell.value)):
+            cell = core.disk.registers.get(writ.KEY) if core.disk is not None and core.disk.can_vote else None
+            if (
+                cell is not None
+                and cell.value
+                and any(d not in core.contents for d in referenced_digests(cell.value))
+            ):
                 raise self._broken(f"{core.ip} votes without the contents of its value")
 
     def _check_versions(self) -> None:
--- a/fennelpoint/testing/core_machines.py
+++ b/fennelpoint/testing/core_machines.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
-from fennelpoint.fleet.register import Keeper
+from fennelpoint.fleet.register import Acceptor
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.registry.state_machine import Desk
-from fennelpoint.system.store.replica import Store
+from fennelpoint.system.store.replica import Replica
 
 
 class Broken(AssertionError):
@@ -30,10 +30,10 @@
     zone: str
     region: str
     up: bool = False
-    disk: Keeper | None = None
+    disk: Acceptor | None = None
     contents: dict[str, bytes] = field(default_factory=dict)
     rows: dict[str, list] = field(default_factory=dict)
-    store: Store | None = None
+    store: Replica | None = None
     desk: Desk | None = None
     full: bool = False  # the disk refuses writes
     desk_gone: bool = False  # its registry has left
--- a/fennelpoint/testing/core_simulation.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelpoint.fleet.register import Keeper
+from fennelpoint.fleet.register import Acceptor
 from fennelpoint.fleet.store import making_room
 from fennelpoint.system.actions import Send, Violation
 from fennelpoint.system.frames import Unpacker, pack
@@ -26,7 +26,7 @@
 from fennelpoint.system.registry.state_machine import Desk
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store import replica as writ
-from fennelpoint.system.store.replica import Store
+from fennelpoint.system.store.replica import Replica
 from fennelpoint.testing.core_calls import STEP, OutsideCalls
 from fennelpoint.testing.core_invariants import CoreRules
 from fennelpoint.testing.core_machines import Backend, Broken, Core, Front
@@ -99,8 +99,8 @@
         regions = {c.zone: c.region for c in [*self.cores.values(), *self.fronts.values()]}
         core = self.cores[ip]
         if role == "writ":
-            keeper = core.disk or Keeper(ip, 0, False, {}, {})
-            core.store = Store(ip, core.zone, regions, self.seeds, keeper, first and ip in self.seeds,
+            keeper = core.disk or Acceptor(ip, 0, False, {}, {})
+            core.store = Replica(ip, core.zone, regions, self.seeds, keeper, first and ip in self.seeds,
                                core.contents.get, Random(self.random.random()), self.now)
         else:
             core.desk = Desk(ip, core.zone, core.region, regions, self.seeds, 8200, self.bounds, BEAT,
@@ -170,8 +170,8 @@
     def _deliver(self, source: str, to: str, message: list) -> None:
         role, ip = to.split("@")
         if role == "writ":
-            whose = writ.ROLL if source.startswith("roll@") else ip_of(source)
-            self._writ(self.cores[ip], self.cores[ip].store.heard(whose, message, self.now))
+            whose = writ.REGISTRY if source.startswith("roll@") else ip_of(source)
+            self._writ(self.cores[ip], self.cores[ip].store.receive(whose, message, self.now))
         elif role == "roll":
             self._roll(self.cores[ip], self.cores[ip].desk.heard(source, message, self.now))
         elif self.links.get((to, source), (False, 0.0))[0] or source.startswith("span@"):
@@ -180,13 +180,13 @@
     def _writ(self, core: Core, actions: list) -> None:
         for action in actions:
             if core.full and isinstance(action, writ.Save | writ.SaveContent):
-                return core.store.sick("the disk is full")
+                return core.store.disk_failed("the disk is full")
             match action:
-                case writ.Whole():
-                    core.store.well()
+                case writ.DiskSynced():
+                    core.store.disk_recovered()
                 case writ.Send(to, message):
-                    self.send(name("writ", core.ip), name("roll", core.ip) if to == writ.ROLL else name("writ", to),
-                              message)
+                    self.send(name("writ", core.ip),
+                              name("roll", core.ip) if to == writ.REGISTRY else name("writ", to), message)
                 case writ.Save(keeper):
                     core.disk = keeper
                 case writ.SaveContent(digest, data, needed):
@@ -273,7 +273,7 @@
             if not machine.desk_gone:
                 self._roll(machine, machine.desk.tick(self.now))
                 machine.desk_gone = machine.desk.gone(self.now)
-            if machine.desk_gone and machine.store.gone(self.now):
+            if machine.desk_gone and machine.store.can_exit(self.now):
                 self.kill(ip)
         elif machine.up:
             self._span(machine, machine.session.tick(self.now))
@@ -350,7 +350,7 @@
         if role == "roll":
             self._roll(self.cores[ip], self.cores[ip].desk.linked(other, up, self.now))
         elif role == "writ":
-            self._writ(self.cores[ip], self.cores[ip].store.linked(ip_of(other), up, self.now))
+            self._writ(self.cores[ip], self.cores[ip].store.connection_changed(ip_of(other), up, self.now))
         elif role == "span":
             self._span(self.fronts[ip], self.fronts[ip].session.linked(other, up, self.now))
 
--- a/fennelpoint/testing/model_checker.py
+++ b/fennelpoint/testing/model_checker.py
@@ -20,15 +20,15 @@
 
 from fennelpoint.fleet.register import (
     Accept,
+    Acceptor,
     Answer,
-    Cell,
     Groups,
-    Keeper,
-    Known,
+    RegisterState,
     Rejoin,
+    RejoinReply,
     Round,
     handle,
-    holds,
+    is_quorum,
     majority,
 )
 
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True)
 class World:
-    keepers: tuple[Keeper, ...]
+    keepers: tuple[Acceptor, ...]
     rounds: tuple[Round, ...]           # one a ballot that a proposer may try
     begun: frozenset[int]               # of these, whose prepares went out
     net: frozenset                      # to which keeper, the message, and whose: a round, or who rejoins
@@ -94,20 +94,22 @@
     away: frozenset[str] = frozenset()  # keepers that were taken away for good
 
     def key(self) -> tuple:
-        return (tuple((k.life, k.votes, tuple(sorted(k.lives.items())), k.cells.get(KEY)) for k in self.keepers),
-                tuple((frozenset(r.promises), r.sent, r.votes) for r in self.rounds), self.begun, self.net,
-                self.done, tuple(r and (r.life, _names(r.asked), _names(r.told or {}), r.told is None)
-                                 for r in self.rejoins), self.losses, self.held, self.away)
+        return (tuple((k.incarnation, k.can_vote, tuple(sorted(k.incarnations.items())), k.registers.get(KEY))
+                      for k in self.keepers),
+                tuple((frozenset(r.promises), r.accept, r.votes) for r in self.rounds), self.begun, self.net,
+                self.done, tuple(r and (r.incarnation, _names(r.discovery_replies), _names(r.state_replies or {}),
+                                              r.state_replies is None) for r in self.rejoins),
+                self.losses, self.held, self.away)
 
 
 def _names(known: dict) -> tuple:
-    return tuple(sorted((name, k.lives, k.cells) for name, k in known.items()))
+    return tuple(sorted((name, k.incarnations, k.registers) for name, k in known.items()))
 
 
 def begin(keepers: int, tries: list[tuple[str, int]], losses: int) -> World:
     """`tries` are (proposer, round): each changes the register by its own name, in that ballot."""
     names = [f"k{i}" for i in range(keepers)]
-    made = tuple(Keeper(name, 1, True, {}, {}) for name in names)
+    made = tuple(Acceptor(name, 1, True, {}, {}) for name in names)
     rounds = tuple(Round(KEY, (number, who), Append(who), keepers) for who, number in tries)
     return World(made, rounds, frozenset(), frozenset(), frozenset(), (None,) * keepers, losses)
 
@@ -122,8 +124,8 @@
     """
     names = [f"k{i}" for i in range(keepers)]
     first = frozenset(names[:founders])
-    cell = Cell((0, "founded"), (0, "founded"), Membered(first, frozenset(), (), content))
-    made = tuple(Keeper(n, 1, True, {}, {KEY: cell} if n in first else {}) for n in names)
+    cell = RegisterState((0, "founded"), (0, "founded"), Membered(first, frozenset(), (), content))
+    made = tuple(Acceptor(n, 1, True, {}, {KEY: cell} if n in first else {}) for n in names)
     rounds = tuple(Round(KEY, (number, who), Become(who, frozenset(names[-voters:]) if voters else None,
                                                     who if content and not voters else ""), keepers,
                          groups=(first,), groups_of=groups_of) for who, number, voters in tries)
@@ -146,7 +148,7 @@
 
 def _repaired(world: World) -> bool:
     """Whether all that are there vote: a loss that comes sooner is one of two at once."""
-    return all(keeper.votes or keeper.name in world.away for keeper in world.keepers)
+    return all(keeper.can_vote or keeper.name in world.away for keeper in world.keepers)
 
 
 def steps(world: World, answer: Callable = handle, obtain: Obtain = obtains) -> list[World]:
@@ -155,7 +157,7 @@
     index = {keeper.name: i for i, keeper in enumerate(world.keepers)}
     for i, one in enumerate(world.rounds):
         if i not in world.begun:
-            net = world.net | {(k.name, one.first, i) for k in world.keepers}
+            net = world.net | {(k.name, one.prepare, i) for k in world.keepers}
             out.append(replace(world, begun=world.begun | {i}, net=net))
     for to, message, whose in world.net:
         if to in world.away:
@@ -177,18 +179,18 @@
     if whole and (lists := [v for v in world.done if isinstance(v, Membered)]):
         newest = max(lists, key=lambda value: len(value.ids))
         for keeper in world.keepers:    # it was replaced, and never comes back
-            if keeper.name not in newest.members | world.away and keeper.cells:
+            if keeper.name not in newest.members | world.away and keeper.registers:
                 out.append(replace(world, away=world.away | {keeper.name}, held=_without(world.held, keeper.name)))
     if world.losses and whole:
         groups_of = world.rounds[0].groups_of
         for i, keeper in enumerate(world.keepers):
-            if keeper.name not in world.away and (groups_of is None or keeper.cells):
+            if keeper.name not in world.away and (groups_of is None or keeper.registers):
                 state = Rejoin(keeper.name, len(world.keepers), {}, groups_of=groups_of)
                 # What it had sent before is still under way; its answers to others, too.
-                net = world.net | {(k.name, state.message, keeper.name) for k in world.keepers
+                net = world.net | {(k.name, state.request, keeper.name) for k in world.keepers
                                    if k.name != keeper.name}
                 out.append(replace(
-                    world, keepers=_put(world.keepers, i, Keeper(keeper.name, 0, False, {}, {})),
+                    world, keepers=_put(world.keepers, i, Acceptor(keeper.name, 0, False, {}, {})),
                     rejoins=_put(world.rejoins, i, state), losses=world.losses - 1, net=net,
                     held=_without(world.held, keeper.name)))
     return out
@@ -200,27 +202,27 @@
 
 def _hear(world: World, told: Answer, whose: int | str, index: dict[str, int], obtain: Obtain) -> World:
     """The world once an answer was heard; the same where it changes nothing, as a refusal does."""
-    if isinstance(told, Known):
+    if isinstance(told, RejoinReply):
         i = index[whose]
-        if (state := world.rejoins[i]) is None or (new := state.heard(told)) == state:
+        if (state := world.rejoins[i]) is None or (new := state.with_reply(told)) == state:
             return world
         made = replace(world, rejoins=_put(world.rejoins, i, new))
-        if new.message != state.message:
+        if new.request != state.request:
             made = replace(made, net=made.net | {
-                (k.name, new.message, whose) for k in made.keepers if k.name != whose})
-        if (keeper := new.keeper) is not None:
-            value = keeper.cells[KEY].value if keeper.cells else None
+                (k.name, new.request, whose) for k in made.keepers if k.name != whose})
+        if (keeper := new.acceptor) is not None:
+            value = keeper.registers[KEY].value if keeper.registers else None
             if (there := obtain(made, whose, value, False)) is None:
                 return world    # it waits for the content
             made = replace(there, keepers=_put(made.keepers, i, keeper), rejoins=_put(made.rejoins, i, None))
         return made
     one = world.rounds[whose]
-    if not told.ok or (new := one.heard(told)) == one:
+    if not told.ok or (new := one.with_answer(told)) == one:
         return world
     made = replace(world, rounds=_put(world.rounds, whose, new))
-    if new.sent is not None and one.sent is None:
-        made = replace(made, net=made.net | {(name, new.sent, whose) for name in new.asks})
-    return replace(made, done=made.done | {new.sent.value}) if new.done else made
+    if new.accept is not None and one.accept is None:
+        made = replace(made, net=made.net | {(name, new.accept, whose) for name in new.promised_by})
+    return replace(made, done=made.done | {new.accept.value}) if new.is_agreed else made
 
 
 def _put(items: tuple, i: int, one: object) -> tuple:
@@ -241,13 +243,14 @@
         newest = max(world.done, key=lambda value: len(value.ids), default=None)
         if newest is not None and newest.content and all(c != newest.content for _, c in world.held):
             return f"nobody holds the content of {newest}"
-        for cell in {k.cells[KEY] for k in world.keepers if k.cells.get(KEY, Cell()).value is not None}:
+        for cell in {k.registers[KEY] for k in world.keepers
+                     if k.registers.get(KEY, RegisterState()).value is not None}:
             alike = frozenset(k.name for k in world.keepers if k.name not in world.away
-                              and k.cells.get(KEY, Cell()).accepted == cell.accepted)
-            if chain and holds(alike, groups_of(cell.value)) and _ids(cell.value)[:len(chain[-1])] != chain[-1]:
+                              and k.registers.get(KEY, RegisterState()).accepted == cell.accepted)
+            if chain and is_quorum(alike, groups_of(cell.value)) and _ids(cell.value)[:len(chain[-1])] != chain[-1]:
                 return f"a read finds {cell.value}, and {chain[-1]} was agreed"
         return ""
-    voting = [k.cells.get(KEY, Cell()) for k in world.keepers if k.votes]
+    voting = [k.registers.get(KEY, RegisterState()) for k in world.keepers if k.can_vote]
     for group in combinations(voting, majority(len(world.keepers))):
         if len({cell.accepted for cell in group}) == 1 and chain:
             value = group[0].value or ()
--- a/fennelpoint/testing/scenario_language.py
+++ b/fennelpoint/testing/scenario_language.py
@@ -32,7 +32,7 @@
 
     def do(self, words: list[str]) -> None:
         """One line of a scenario; `newest` stands for the newest version that is known."""
-        newest = max((c.store.world.get("version", 0) for c in self.cores.values() if c.store), default=0)
+        newest = max((c.store.state.get("version", 0) for c in self.cores.values() if c.store), default=0)
         match words := [str(newest) if word == "newest" else word for word in words]:
             case ["core", ip, zone, region]:
                 self.cores[ip] = Core(ip, zone, region)
@@ -165,14 +165,14 @@
             case ["evacuated", ip, *zones]:
                 return self.fronts[ip].session.evac == frozenset(zones)
             case ["voters", ip, *ips]:
-                return set(self.cores[ip].store.world.get("voters", ())) == set(self._these(ips))
+                return set(self.cores[ip].store.state.get("voters", ())) == set(self._these(ips))
             case ["up", ip, word]:
                 return all(self.cores[one].up is (word == "yes") for one in self._these([ip]))
             case ["enrolled", ip, *ips]:
                 return all(set(self.cores[one].desk.world["fronts"]) == set(ips) for one in self._these([ip]))
             case ["votes", ip, word]:
                 core = self.cores[ip]
-                return (core.store.keeper.votes and not core.store.ill) is (word == "yes")
+                return (core.store.acceptor.can_vote and not core.store.disk_error) is (word == "yes")
             case ["sees", ip, backend, state]:
                 b = self.fronts[ip].session.backends.known.get(backend)
                 return state == ("none" if b is None else "lost" if b.lost else b.told.state)
@@ -193,7 +193,7 @@
                 leads = [c.ip for c in self.cores.values() if c.up and c.desk.allocation.allocator is not None]
                 return len(leads) == (0 if word == "none" else 1) and word in ("none", "one", *leads)
             case ["agreed", *what]:
-                votes = [c.store.world for c in self.cores.values() if c.up and c.store.world]
+                votes = [c.store.state for c in self.cores.values() if c.up and c.store.state]
                 return len({w["version"] for w in votes}) == 1 and votes[0]["version"] in [
                     int(version) for version in what[0].split("|")]
         raise ValueError(f"{' '.join(words)!r} is no expectation")
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -10,7 +10,7 @@
 import pytest
 
 from fennelpoint.fleet import state
-from fennelpoint.fleet.register import Cell, Keeper
+from fennelpoint.fleet.register import Acceptor, RegisterState
 from fennelpoint.fleet.rpc import CallFailed, Line, Refusal, Service, call_once
 from fennelpoint.fleet.store import Store
 from fennelpoint.operator_config import FaultyFile, read_operator
@@ -21,13 +21,13 @@
 
 def filled(folder: Path) -> Store:
     store = Store(folder, "k0")
-    store.begin(Keeper("k0", 3, True, {"k1": 2}, {"x": Cell((1, "a"), (1, "a"), {"rev": 1})}))
+    store.begin(Acceptor("k0", 3, True, {"k1": 2}, {"x": RegisterState((1, "a"), (1, "a"), {"rev": 1})}))
     return store
 
 
 def test_a_keepers_file_comes_back_as_it_was(tmp_path):
     store = filled(tmp_path)
-    after = Keeper("k0", 3, True, {"k1": 2}, {"x": Cell((7, "b"), (1, "a"), {"rev": 1})})
+    after = Acceptor("k0", 3, True, {"k1": 2}, {"x": RegisterState((7, "b"), (1, "a"), {"rev": 1})})
     store.keep(after, "x")
     store.close()
     assert Store(tmp_path, "k0").keeper == after
@@ -47,11 +47,11 @@
     store.close()
     harm(tmp_path / "k0.keeper")
     again = Store(tmp_path, "k0")
-    if again.keeper.cells:      # what was torn off was not needed
+    if again.keeper.registers:      # what was torn off was not needed
         return
-    assert not again.keeper.votes and again.keeper.life == 0
+    assert not again.keeper.can_vote and again.keeper.incarnation == 0
     assert "set aside" in caplog.text and text in caplog.text and list(tmp_path.glob("*.bad-*"))
-    assert not Store(tmp_path, "k0").keeper.votes       # nor after a restart
+    assert not Store(tmp_path, "k0").keeper.can_vote       # nor after a restart
 
 
 def _execute(path: Path, statement: str) -> None:
--- a/tests/fleet/test_registers.py
+++ b/tests/fleet/test_registers.py
@@ -9,7 +9,7 @@
 
 from fennelpoint.fleet.consensus import EmbeddedRegister, Held, Unknown, decode_message, encode_answer
 from fennelpoint.fleet.etcd import EtcdRegister
-from fennelpoint.fleet.register import Keeper
+from fennelpoint.fleet.register import Acceptor
 from fennelpoint.fleet.rpc import CallFailed, Service, call_once
 from fennelpoint.fleet.store import Store
 from fennelpoint.testing.etcd import Etcd
@@ -29,7 +29,7 @@
     made, services = [], []
     for name, address in ports.items():
         store = Store(tmp_path, name)
-        store.begin(Keeper(name, 1, True, {}, {}))
+        store.begin(Acceptor(name, 1, True, {}, {}))
         one = EmbeddedRegister(store, {n: a for n, a in ports.items() if n != name})
 
         async def answer(call: dict, one=one) -> dict:
--- a/tests/system/test_content_retention.py
+++ b/tests/system/test_content_retention.py
@@ -1,95 +1,99 @@
-"""Contents on a core machine's disk: what is still needed stays, the rest is bounded, nothing is told too early."""
+"""Contents on a core machine's disk: needed ones are retained, others bounded, none reported before it is stored."""
 
 from pathlib import Path
 from random import Random
 
 from fennelpoint.fleet import store as disk
-from fennelpoint.fleet.register import Keeper
+from fennelpoint.fleet.register import Acceptor
 from fennelpoint.fleet.store import MOST_BYTES, MOST_CONTENTS, making_room
-from fennelpoint.system.store.content_retention import FORMER, SPREAD, needed
-from fennelpoint.system.store.replica import ROLL, SaveContent, Send, Store
-from fennelpoint.system.store.replicated_state import empty
+from fennelpoint.system.store.content_retention import RECEIVED_RETENTION_S, SUPERSEDED_RETENTION_S, retained_digests
+from fennelpoint.system.store.replica import REGISTRY, Replica, SaveContent, Send
+from fennelpoint.system.store.replicated_state import initial_state
 from fennelpoint.testing.core_simulation import World
 
 SEEDS = ["a", "b", "c"]
 
 
-class One:
-    """A store whose contents are on a disk of its own, which may refuse them."""
+class ReplicaOnDisk:
+    """A replica whose contents are on a simulated disk, which may refuse writes."""
 
     def __init__(self) -> None:
         self.disk: dict[str, bytes] = {}
-        self.full = False
-        self.store = Store("a", "za", {}, SEEDS, Keeper("a", 0, False, {}, {}), True, self.disk.get, Random(1), 0.0)
-        self.store.tick(0.0)
-
-    def hear(self, peer: str, message: list, now: float) -> list:
-        """What it says; contents are written as its program does."""
-        said = []
-        for action in self.store.heard(peer, message, now):
+        self.is_full = False
+        self.replica = Replica("a", "za", {}, SEEDS, Acceptor("a", 0, False, {}, {}), True, self.disk.get,
+                               Random(1), 0.0)
+        self.replica.tick(0.0)
+
+    def receive(self, peer: str, message: list, now: float) -> list:
+        """Handles a message as the program does; returns (recipient, message) of each message sent."""
+        sent = []
+        for action in self.replica.receive(peer, message, now):
             if isinstance(action, SaveContent):
-                if self.full:
-                    self.store.sick("full")
-                    return said
+                if self.is_full:
+                    self.replica.disk_failed("full")
+                    return sent
                 self.disk[action.digest] = action.data
-                for gone in making_room([(d, len(c)) for d, c in self.disk.items()],
-                                        {*action.needed, action.digest}):
-                    del self.disk[gone]
+                for evicted in making_room([(d, len(c)) for d, c in self.disk.items()],
+                                           {*action.retained, action.digest}):
+                    del self.disk[evicted]
             elif isinstance(action, Send):
-                said.append((action.to, action.message))
-        return said
+                sent.append((action.to, action.message))
+        return sent
 
 
-def test_a_content_that_is_spread_outlives_any_number_of_races_until_its_round_has_ended() -> None:
-    """Red before: 64 younger ones pushed it out while its proposer's round was still open."""
-    one = One()
-    one.hear("b", ["store", 1, "slow", b"x"], 0.0)
+def test_distributed_content_is_retained_until_its_round_has_ended_despite_competing_rounds() -> None:
+    """Guards against a content that 64 newer ones evicted while its proposer's round was still under way."""
+    machine = ReplicaOnDisk()
+    machine.receive("b", ["store", 1, "slow", b"x"], 0.0)
     for turn in range(200):
-        one.hear("c", ["store", turn, f"quick{turn}", b"y"], 0.01 * turn)
-    assert "slow" in one.disk and len(one.disk) <= MOST_CONTENTS + 8
+        machine.receive("c", ["store", turn, f"quick{turn}", b"y"], 0.01 * turn)
+    assert "slow" in machine.disk and len(machine.disk) <= MOST_CONTENTS + 8
     for turn in range(200):
-        one.hear("c", ["store", turn, f"later{turn}", b"y"], SPREAD + 1.0 + 0.01 * turn)
-    assert "slow" not in one.disk and len(one.disk) <= MOST_CONTENTS + 8
-
-
-def test_needed_is_what_values_name_what_is_under_way_and_what_was_just_followed() -> None:
-    value = {**empty({}), "digest": "newest", "log": [[9, "segment"]]}
-    held = needed([value, {**value, "digest": "accepted"}, {}], ["ours", ""], [("spread", 95.0), ("long ago", 0.0)],
-                  [("before", 100.0 - FORMER + 0.1), ("older", 100.0 - FORMER - 0.1)], 100.0)
-    assert held == {"newest", "segment", "accepted", "ours", "spread", "before"}
-
-
-def test_a_proposer_whose_disk_refuses_a_content_is_no_holder_of_it() -> None:
-    """Red before: it counted itself, went on once the disk was well, and a single other held what was agreed."""
-    one = One()
-    one.full = True
-    one.hear(ROLL, ["change", 1, "put", [5, 0, "s", "d"], b"data"], 1.0)
-    assert one.store.ill
-    one.hear("b", ["stored", one.store.jobs[0].number, "b", "d"], 1.1)
-    one.store.well()
-    assert one.store.jobs[0].holders == {"b"}
-    saved = [a for now in (1.2, 2.0) for a in one.store.tick(now) if isinstance(a, SaveContent)]
-    assert [a.digest for a in saved] == ["d"]       # it tries again, and only then counts
-
-
-def test_a_content_that_comes_by_being_spread_reaches_the_registry_that_waits_for_it() -> None:
-    """Red before: the registry's own ask was lost, and it went on by the figures before."""
-    one = One()
-    one.hear(ROLL, ["want", "d"], 1.0)
-    assert (ROLL, ["content", "d", b"data"]) in one.hear("b", ["store", 1, "d", b"data"], 1.1)
-
-
-def test_the_rest_on_disk_is_bounded_in_bytes_and_what_is_kept_is_not_touched(tmp_path: Path) -> None:
-    store = disk.Store(tmp_path, "a", alone=True)
-    assert store.add_content("kept", b"k", 0.0, set()) == []
-    gone = [old for n in range(40)
-            for old in store.add_content(f"c{n:02}", bytes(500_000), 1.0 + n, {"kept"})]
-    assert gone == [f"c{n:02}" for n in range(40 - 1 - MOST_BYTES // 500_000)]
-    assert store.content("kept") == b"k" and store.content("c39") is not None and store.content("c00") is None
-    assert store.path.stat().st_size < 2 * MOST_BYTES + 4_000_000
-
-
-def test_a_reckoner_asks_again_for_a_configuration_that_did_not_come_and_lends_no_units_by_an_old_one() -> None:
+        machine.receive("c", ["store", turn, f"later{turn}", b"y"], RECEIVED_RETENTION_S + 1.0 + 0.01 * turn)
+    assert "slow" not in machine.disk and len(machine.disk) <= MOST_CONTENTS + 8
+
+
+def test_retained_contents_are_those_of_states_of_changes_under_way_and_of_recently_superseded_states() -> None:
+    state = {**initial_state({}), "digest": "newest", "log": [[9, "segment"]]}
+    retained = retained_digests(
+        [state, {**state, "digest": "accepted"}, {}], ["own", ""], [("received", 95.0), ("expired", 0.0)],
+        [("before", 100.0 - SUPERSEDED_RETENTION_S + 0.1), ("older", 100.0 - SUPERSEDED_RETENTION_S - 0.1)], 100.0)
+    assert retained == {"newest", "segment", "accepted", "own", "received", "before"}
+
+
+def test_proposer_whose_disk_refuses_a_content_does_not_count_as_holder() -> None:
+    """Guards against a proposer that counts itself, continues once its disk recovers, and agrees a state whose
+    content only one other machine holds."""
+    machine = ReplicaOnDisk()
+    machine.is_full = True
+    machine.receive(REGISTRY, ["change", 1, "put", [5, 0, "s", "d"], b"data"], 1.0)
+    assert machine.replica.disk_error
+    machine.receive("b", ["stored", machine.replica.pending_changes[0].number, "b", "d"], 1.1)
+    machine.replica.disk_recovered()
+    assert machine.replica.pending_changes[0].holders == {"b"}
+    saved = [a for now in (1.2, 2.0) for a in machine.replica.tick(now) if isinstance(a, SaveContent)]
+    assert [a.digest for a in saved] == ["d"]       # it retries the write, and counts only then
+
+
+def test_content_distributed_by_a_proposer_reaches_the_registry_that_waits_for_it() -> None:
+    """Guards against a registry whose request is lost, and which continues with the previous configuration."""
+    machine = ReplicaOnDisk()
+    machine.receive(REGISTRY, ["want", "d"], 1.0)
+    assert (REGISTRY, ["content", "d", b"data"]) in machine.receive("b", ["store", 1, "d", b"data"], 1.1)
+
+
+def test_unneeded_contents_are_bounded_in_bytes_and_retained_ones_are_not_evicted(tmp_path: Path) -> None:
+    on_disk = disk.Store(tmp_path, "a", alone=True)
+    assert on_disk.add_content("retained", b"k", 0.0, set()) == []
+    evicted = [old for n in range(40)
+               for old in on_disk.add_content(f"c{n:02}", bytes(500_000), 1.0 + n, {"retained"})]
+    assert evicted == [f"c{n:02}" for n in range(40 - 1 - MOST_BYTES // 500_000)]
+    assert on_disk.content("retained") == b"k" and on_disk.content("c39") is not None and (
+        on_disk.content("c00") is None)
+    assert on_disk.path.stat().st_size < 2 * MOST_BYTES + 4_000_000
+
+
+def test_allocator_retries_a_lost_configuration_and_grants_no_units_by_an_outdated_one() -> None:
     world = World()
     for n, line in enumerate("abc"):
         world.do(["core", f"{line}1", f"z{line}", f"r{line}"])
@@ -101,11 +105,11 @@
     world.do(["draw", "f0", "t1", "2"])
     world.run(4.5)
     assert world.fronts["f0"].drawn["t1"][0] > 0
-    lost = world.send
+    original_send = world.send
 
     def send(source: str, to: str, message: list) -> None:
         if not (to.startswith("roll@") and message[0] == "content"):
-            lost(source, to, message)
+            original_send(source, to, message)
 
     world.send = send
     world.rate = 1
@@ -114,7 +118,7 @@
     world.do(["draw", "f0", "t1", "1"])
     world.run(8.5)
     assert "t1" not in world.fronts["f0"].drawn
-    world.send = lost
+    world.send = original_send
     world.run(11.0)
     world.do(["draw", "f0", "t1", "1"])
     world.run(11.5)
--- a/tests/system/test_core_failover.py
+++ b/tests/system/test_core_failover.py
@@ -27,7 +27,7 @@
 
 def cut_off_a_minority(world: World) -> list[str]:
     """Cuts two voters and three others off from the rest of the core, which all proxies reach; returns the rest."""
-    voters = sorted(world.cores["c00"].store.world["voters"])
+    voters = sorted(world.cores["c00"].store.state["voters"])
     others = sorted(world.cores.keys() - set(voters))
     minority = world.random.sample(voters, 2) + world.random.sample(others, CUT_OFF - 2)
     rest = [ip for ip in world.cores if ip not in minority]
--- a/tests/system/test_graceful_shutdown.py
+++ b/tests/system/test_graceful_shutdown.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-from fennelpoint.fleet.register import Keeper
+from fennelpoint.fleet.register import Acceptor
 from fennelpoint.system.graceful_shutdown import LINGER, MOST, within
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.store.replica import REJOIN, Store
+from fennelpoint.system.store.replica import REJOIN_RETRY_S, Replica
 from fennelpoint.testing.core_simulation import play
 
 SITE = """
@@ -39,11 +39,12 @@
 
 
 def test_a_store_stays_for_one_that_comes_back_but_not_for_ever() -> None:
-    store = Store("a", "za", {"za": "ra"}, list("abc"), Keeper("a", 0, False, {}, {}), True, {}.get, Random(1), 0.0)
-    assert not store.gone(9.0)
+    store = Replica("a", "za", {"za": "ra"}, list("abc"), Acceptor("a", 0, False, {}, {}), True, {}.get,
+                    Random(1), 0.0)
+    assert not store.can_exit(9.0)
     store.leave(10.0)
-    store.heard("b", ["hail", 1, "b", 0], 10.1)
-    assert not store.gone(10.1 + REJOIN) and store.gone(10.1 + REJOIN + LINGER)
+    store.receive("b", ["hail", 1, "b", 0], 10.1)
+    assert not store.can_exit(10.1 + REJOIN_RETRY_S) and store.can_exit(10.1 + REJOIN_RETRY_S + LINGER)
     for i in range(10):
-        store.heard("b", ["hail", 1, "b", 0], 10.3 + i * REJOIN)
-    assert store.gone(10.0 + MOST) and within(Bounds().grace_period_s) < 3.0 and within(2.0) < 1.0
+        store.receive("b", ["hail", 1, "b", 0], 10.3 + i * REJOIN_RETRY_S)
+    assert store.can_exit(10.0 + MOST) and within(Bounds().grace_period_s) < 3.0 and within(2.0) < 1.0
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from fennelpoint.fleet.register import Cell, Hello, Keeper, handle
+from fennelpoint.fleet.register import Acceptor, RegisterState, RejoinRequest, handle
 from fennelpoint.system.incarnation import first_number, same_life
 from fennelpoint.system.proxy import core_session
 from fennelpoint.system.proxy.core_session import CoreSession
@@ -19,8 +19,8 @@
 from fennelpoint.system.registry.grants import GRANT_LIFE, WHOLE
 from fennelpoint.system.registry.leader_lease import SPAN, Duty
 from fennelpoint.system.store import replica
-from fennelpoint.system.store.replica import FOUNDED, KEY, Send, Store
-from fennelpoint.system.store.replicated_state import empty
+from fennelpoint.system.store.replica import FOUNDING_BALLOT, KEY, Replica, Send
+from fennelpoint.system.store.replicated_state import initial_state
 from fennelpoint.testing.core_machines import Broken
 from fennelpoint.testing.core_simulation import play
 
@@ -132,45 +132,45 @@
 
 def test_a_content_that_was_stored_for_a_former_life_has_no_holder_by_it(fenced: bool) -> None:
     """Whoever said so may have lost its disk since; a value that names it needs it on a majority."""
-    def born(seed: int) -> tuple[Store, int]:
-        cell = Cell(FOUNDED, FOUNDED, empty(dict.fromkeys(("v1", "v2", "v3"), "z")))
-        one = Store("v3", "z", {}, ["v1", "v2", "v3"], Keeper("v3", 1, True, {}, {KEY: cell}), False, {}.get,
+    def born(seed: int) -> tuple[Replica, int]:
+        cell = RegisterState(FOUNDING_BALLOT, FOUNDING_BALLOT, initial_state(dict.fromkeys(("v1", "v2", "v3"), "z")))
+        one = Replica("v3", "z", {}, ["v1", "v2", "v3"], Acceptor("v3", 1, True, {}, {KEY: cell}), False, {}.get,
                     Random(seed), 0.0)
-        out = one.heard("roll", ["change", 1, "put", [3, 0, "s", "d"], b"data"], 0.0)
+        out = one.receive("roll", ["change", 1, "put", [3, 0, "s", "d"], b"data"], 0.0)
         return one, next(a.message[1] for a in out if isinstance(a, Send) and a.message[0] == "store")
 
     (_, former), (store, now) = sorted((born(1), born(2)), key=lambda made: -made[1])
-    out = store.heard("v1", ["stored", former, "v1", "d"], 0.1)
+    out = store.receive("v1", ["stored", former, "v1", "d"], 0.1)
     assert any(isinstance(a, Send) and a.message[0] == "prepare" for a in out) is not fenced
-    out += store.heard("v1", ["stored", now, "v1", "d"], 0.2)
+    out += store.receive("v1", ["stored", now, "v1", "d"], 0.2)
     assert any(isinstance(a, Send) and a.message[0] == "prepare" for a in out)
 
 
 def test_what_a_voter_held_before_it_was_wiped_is_no_part_of_a_majority() -> None:
     """V1 answers, loses its disk and comes back without the value; then V2 takes it.  Nobody holds it with V2."""
-    value, newer = empty(dict.fromkeys(("v1", "v2", "v3"), "z")), None
+    value, newer = initial_state(dict.fromkeys(("v1", "v2", "v3"), "z")), None
     newer = {**value, "rev": 2, "version": 7}
-    old, new = Cell(FOUNDED, FOUNDED, value), Cell((5, "p"), (5, "p"), newer)
-    held = {n: Keeper(n, 1, True, {}, {KEY: old}) for n in ("v1", "v2", "v3")}
-    reader = Store("v3", "z", {}, ["v1", "v2", "v3"], held["v3"], False, {}.get, Random(1), 0.0)
-    asks = {a.to: a.message for a in reader.heard("roll", ["read", 9], 0.0) + reader.tick(0.2)
+    old, new = RegisterState(FOUNDING_BALLOT, FOUNDING_BALLOT, value), RegisterState((5, "p"), (5, "p"), newer)
+    held = {n: Acceptor(n, 1, True, {}, {KEY: old}) for n in ("v1", "v2", "v3")}
+    reader = Replica("v3", "z", {}, ["v1", "v2", "v3"], held["v3"], False, {}.get, Random(1), 0.0)
+    asks = {a.to: a.message for a in reader.receive("roll", ["read", 9], 0.0) + reader.tick(0.2)
             if isinstance(a, Send) and a.message[0] == "peek"}
 
-    def store(name: str, keeper: Keeper) -> Store:
-        return Store(name, "z", {}, ["v1", "v2", "v3"], keeper, False, {}.get, Random(1), 0.0)
+    def store(name: str, keeper: Acceptor) -> Replica:
+        return Replica(name, "z", {}, ["v1", "v2", "v3"], keeper, False, {}.get, Random(1), 0.0)
 
-    def answer(one: Store) -> list:
-        (sent,) = [a.message for a in one.heard("v3", asks[one.me], 0.1) if isinstance(a, Send)]
+    def answer(one: Replica) -> list:
+        (sent,) = [a.message for a in one.receive("v3", asks[one.me], 0.1) if isinstance(a, Send)]
         return sent
 
-    first = answer(store("v1", Keeper("v1", 1, True, {}, {KEY: new})))
-    held["v2"], _ = handle(held["v2"], Hello("v1", 2))
-    second = answer(store("v2", Keeper("v2", 1, True, held["v2"].lives, {KEY: new})))
-    out = reader.heard("v1", first, 0.2) + reader.heard("v2", second, 0.2)
+    first = answer(store("v1", Acceptor("v1", 1, True, {}, {KEY: new})))
+    held["v2"], _ = handle(held["v2"], RejoinRequest("v1", 2))
+    second = answer(store("v2", Acceptor("v2", 1, True, held["v2"].incarnations, {KEY: new})))
+    out = reader.receive("v1", first, 0.2) + reader.receive("v2", second, 0.2)
     assert not [a for a in out if isinstance(a, Send) and a.message[0] == "newest"]
     # As it holds it in its new life, the two are a majority.
-    again = answer(store("v1", Keeper("v1", 2, True, {}, {KEY: new})))
-    out = reader.heard("v1", again, 0.25)
+    again = answer(store("v1", Acceptor("v1", 2, True, {}, {KEY: new})))
+    out = reader.receive("v1", again, 0.25)
     assert [a.message[2]["version"] for a in out if isinstance(a, Send) and a.message[0] == "newest"] == [7]
 
 
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -66,12 +66,12 @@
 
     def whole(self, ip: str) -> bool:
         """Whether it votes, by the newest value and its content, and its registry goes by these."""
-        core, newest = self.cores[ip], max(c.store.world.get("rev", -1) for c in self.cores.values() if c.up)
+        core, newest = self.cores[ip], max(c.store.state.get("rev", -1) for c in self.cores.values() if c.up)
         store, desk = core.store, core.desk
-        return (core.up and store.keeper.votes and store.world.get("version") == self.made
+        return (core.up and store.acceptor.can_vote and store.state.get("version") == self.made
                 and desk.world.get("rev", -1) >= newest - 1
-                and desk.allocation.figures.digest == store.world["digest"]
-                and store.world["digest"] in core.contents)
+                and desk.allocation.figures.digest == store.state["digest"]
+                and store.state["digest"] in core.contents)
 
     def back(self, ip: str) -> tuple[float, int]:
         """Seconds until a member that starts now is whole, and the bytes that it was sent in two."""
@@ -119,8 +119,8 @@
             self.run(self.now + 3.0)
             out[f"{kind}, s"], out[f"{kind}, bytes"] = self.back("b1")
         cores = list(self.cores.values())
-        out["value, bytes"] = len(pack(cores[0].store.world))
-        out["fronts"] = len(cores[0].store.world["fronts"])
+        out["value, bytes"] = len(pack(cores[0].store.state))
+        out["fronts"] = len(cores[0].store.state["fronts"])
         out["on disk"] = max(len(c.contents) for c in cores)
         out["on disk, bytes"] = max(sum(map(len, c.contents.values())) for c in cores)
         out["in memory"] = max(items(c.store) + items(c.desk) for c in cores)
--- a/tests/system/test_operator_cli.py
+++ b/tests/system/test_operator_cli.py
@@ -123,7 +123,7 @@
     file.write_text(json.dumps(configuration(4, 3)))
     assert run("apply", str(file), "--core", core) == operator_cli.DONE
     assert run("revive", str(kept), "--core", core) == operator_cli.REFUSED
-    assert "the core lives" in capsys.readouterr().err
+    assert "the core is in use" in capsys.readouterr().err
     held = json.loads(kept.read_text())
     held["snapshot"]["version"] = 9
     kept.write_text(json.dumps(held))
--- a/tests/system/test_parts.py
+++ b/tests/system/test_parts.py
@@ -31,7 +31,7 @@
 from fennelpoint.system.registry.live_proxies import Census
 from fennelpoint.system.registry.outstanding_grants import Thing, most_in_use
 from fennelpoint.system.registry.proxy_enrollment import Roster
-from fennelpoint.system.store.replicated_state import dismiss, empty, enrol, lead
+from fennelpoint.system.store.replicated_state import add_proxies, begin_term, initial_state, remove_proxies
 
 FRONTS, RATES = ("f1", "f2", "f3"), {"t1": 20.0, "t2": 3.0}
 BURST, SLACK, WINDOW = 4.0, 20.0, 5.0
@@ -58,7 +58,7 @@
 class Lending(RuleBasedStateMachine):
     """Fronts, one reckoner after the other, and messages that come late, twice or never."""
 
-    CHANGES = {"enrol": enrol, "dismiss": dismiss}
+    CHANGES = {"enrol": add_proxies, "dismiss": remove_proxies}
 
     @initialize()
     def begin(self) -> None:
@@ -66,7 +66,7 @@
         self.fronts: dict[str, CoreSession] = {}
         self.asks: list[tuple] = []                     # on their way, whatever becomes of their front
         self.sent: list[tuple[str, list]] = []          # grants on their way
-        self.agreed = enrol(list(FRONTS))(empty({"a": "za"}))
+        self.agreed = add_proxies(list(FRONTS))(initial_state({"a": "za"}))
         self.reckoners: list[Reckoner] = []                 # the newest last; those before lend for a while
         self.used: list[tuple[float, int]] = []             # units of t2 from the pool
         self.began: list[float] = []                        # when reckoners after the first did
@@ -205,7 +205,7 @@
         if self.reckoners:
             self.reckoners[-1].until = min(self.reckoners[-1].until, self.now + HOLD)
             self.began.append(self.now)
-        self.agreed = lead()(self.agreed)
+        self.agreed = begin_term()(self.agreed)
         allocator = Allocator([self.agreed["term"], "b"], self.agreed["fronts"], self.now)
         self.reckoners = [*self.reckoners[-2:], Reckoner(allocator, self.agreed)]
 
@@ -263,7 +263,8 @@
 class Unfenced(Lending):
     """A dismissal that does not look whether its term is over."""
 
-    CHANGES = {"enrol": enrol, "dismiss": lambda fronts, term: lambda world: dismiss(fronts, world["term"])(world)}
+    CHANGES = {"enrol": add_proxies,
+               "dismiss": lambda fronts, term: lambda world: remove_proxies(fronts, world["term"])(world)}
 
 
 Lending.TestCase.settings = settings(max_examples=150, stateful_step_count=40)
--- a/tests/system/test_quorum_check.py
+++ b/tests/system/test_quorum_check.py
@@ -14,7 +14,7 @@
 from fennelpoint.system.registry.quorum_check import DRAIN, FRESH, LAG, Contact
 from fennelpoint.system.registry.state_machine import Answer, Desk
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.store.replicated_state import empty
+from fennelpoint.system.store.replicated_state import initial_state
 from fennelpoint.testing.core_machines import Broken
 from fennelpoint.testing.core_simulation import play
 
@@ -86,7 +86,7 @@
     call, _, _ = find("control_plane", "PATCH", "/api/configuration")
     asking = Asking(call, "", {}, b'{"version": 5, "base_version": 3, "upsert": {}, "remove": {}}', None)
     (read,) = [a.message for a in desk.call(asking, 0.1) if isinstance(a, Send)]
-    world = {**empty({"a": "za"}), "rev": 1, "version": 3, "digest": "d"}
+    world = {**initial_state({"a": "za"}), "rev": 1, "version": 3, "digest": "d"}
     desk.heard("writ@a", ["newest", read[1], world], 0.2)
     said = [action for tick in range(1, 80) for action in desk.tick(0.2 + tick * 0.05)]
     assert [a.reply.status for a in said if isinstance(a, Answer)] == [503]
--- a/tests/system/test_restored.py
+++ b/tests/system/test_restored.py
@@ -1,4 +1,4 @@
-"""A core machine that comes back, and backends that died meanwhile."""
+"""Backends that died while a core machine was away stay lost when that machine comes back."""
 
 from pathlib import Path
 
@@ -22,6 +22,6 @@
 
 
 @pytest.mark.parametrize("kill", ["kill a1 wipe", "kill a1"])
-def test_a_dead_backend_stays_lost_at_all_fronts_when_a_core_machine_comes_back(kill: str) -> None:
+def test_dead_backend_stays_lost_at_all_proxies_when_a_core_machine_comes_back(kill: str) -> None:
     for seed in range(1, 4):
         play(SITE + DEAD.format(kill=kill), seed)
--- a/tests/system/test_size.py
+++ b/tests/system/test_size.py
@@ -16,11 +16,11 @@
     longest = 0
     while world.now < 6.0:
         world.run(world.now + 0.1)
-        longest = max(longest, *(len(core.store.jobs) for core in world.cores.values()))
+        longest = max(longest, *(len(core.store.pending_changes) for core in world.cores.values()))
         if world.now >= 3.0:
             assert world.status("put 3") == 200
     assert longest <= 2 and all(world.allows(front) for front in world.fronts.values())
-    assert len(world.cores["c00"].store.world["ready"]) == 7 and len(world.cores["c00"].store.world["voters"]) == 5
+    assert len(world.cores["c00"].store.state["ready"]) == 7 and len(world.cores["c00"].store.state["voters"]) == 5
 
 
 def quiet(fronts: int, seconds: float = 4.0) -> tuple[World, dict[str, float]]:
@@ -50,7 +50,7 @@
     while world.now < 8.0:
         world.run(world.now + 0.1)
         assert [ip for ip, core in world.cores.items() if not core.desk.in_touch(world.now)] == []
-    value = world.cores["c00"].store.world
+    value = world.cores["c00"].store.state
     assert len(value["ready"]) + len(value["voters"]) == machines
 
 
