--- a/fennelpoint/fleet/register.py
+++ b/fennelpoint/fleet/register.py
@@ -58,12 +58,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
+    """Asks for a promise to refuse lower ballots, and for the accepted value."""
+
     key: str
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
+    """Asks to accept a value under a ballot that a quorum has promised."""
+
     key: str
     ballot: Ballot
     value: object
@@ -94,6 +98,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptReply:
+    """Answer to Accept; `promised` is the acceptor's highest ballot, which a refused proposer must exceed."""
+
     name: str
     incarnation: int
     ok: bool
@@ -143,6 +149,7 @@
 
 
 def majority(acceptors: int) -> int:
+    """The size of the smallest majority of this many acceptors."""
     return acceptors // 2 + 1
 
 
@@ -185,10 +192,12 @@
 
     @property
     def prepare(self) -> Prepare:
+        """The message that begins the round."""
         return Prepare(self.key, self.ballot)
 
     @property
     def is_agreed(self) -> bool:
+        """Whether a quorum has accepted the value."""
         return self._is_quorum(self.votes) and self.accept is not None
 
     @property
@@ -286,6 +295,7 @@
 
     @property
     def request(self) -> RejoinRequest:
+        """The request to send to the others in the current phase."""
         return RejoinRequest(self.name, self.incarnation)
 
     def with_reply(self, reply: RejoinReply) -> Rejoin:
--- a/fennelpoint/system/store/content_retention.py
+++ b/fennelpoint/system/store/content_retention.py
@@ -48,6 +48,7 @@
         self.superseded.append((state["digest"], now))
 
     def retained_digests(self, states: Iterable[Mapping], under_way: Iterable[str], now: float) -> set[str]:
+        """Digests to retain, given the agreed or possibly agreed states and this machine's changes under way."""
         return retained_digests(states, under_way,
                                 [entry for contents in self.received.values() for entry in contents],
                                 self.superseded, now)
--- a/fennelpoint/system/store/failure_detector.py
+++ b/fennelpoint/system/store/failure_detector.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """Another member's latest report: the digest of the content it holds, and for how long it can't reach whom."""
+    """Another member's latest report: the digest of the content it holds, and how long it has missed each member."""
 
     received_at: float
     digest: str | None
--- a/fennelpoint/system/store/program.py
+++ b/fennelpoint/system/store/program.py
@@ -39,6 +39,7 @@
         return self.contents.get(digest)
 
     async def start(self) -> None:
+        """Opens the sockets and starts the timers."""
         await self.mesh.start()
         self._tick()
 
@@ -57,6 +58,7 @@
                                               time.monotonic()))
 
     def connection_changed(self, peer: str, is_connected: bool) -> None:
+        """Handles a connection that came up or went down; only connections to other replicas matter."""
         if peer.startswith("writ@"):
             self.execute(self.replica.connection_changed(ip_of(peer), is_connected, time.monotonic()))
 
@@ -94,6 +96,7 @@
             self.disk.keep(action.acceptor, KEY if action.has_register else None)
 
     def reload(self, settings: Settings) -> None:
+        """Applies changed settings while running: only additional seeds take effect."""
         self.replica.peers.update(set(settings.seeds) - {settings.ip_address})
 
     def stop(self) -> None:
--- a/fennelpoint/system/store/replica.py
+++ b/fennelpoint/system/store/replica.py
@@ -225,7 +225,7 @@
         if is_connected:    # either machine may have missed a change of members
             self._send(peer, ["at", self.state.get("rev", -1)])
         if is_connected and (reading := self.reading) is not None and (
-                peer in reading["whom"] - reading["answers"].keys()):
+                peer in reading["voters"] - reading["answers"].keys()):
             reading["asked"] |= {peer}
             self._send(peer, self._peek_message())
         pending = self.pending_changes[0] if self.pending_changes else None
@@ -242,9 +242,9 @@
             self.actions += [Save(self.acceptor, is_full=True)] if self.acceptor.can_vote else []
             self.actions.append(DiskSynced())
         self._run_first(now)
-        if self.reading is not None and now >= self.reading["more"] and self.reading["asked"] != self.reading["whom"]:
+        if self.reading is not None and now >= self.reading["escalate_at"] and self.reading["asked"] != self.reading["voters"]:
             self._peek_remaining()
-        if self.reading is not None and now >= self.reading["until"]:
+        if self.reading is not None and now >= self.reading["expires_at"]:
             voting = frozenset(reply.name for reply in self.reading["answers"].values() if reply.ok)
             if is_quorum(voting, self.groups()) and not self.pending_changes:
                 self._read_by_round(now)
@@ -721,10 +721,11 @@
         for name in sorted(voters - nearest, key=lambda ip: (ip not in self.connected, self._distance(ip))):
             if not is_quorum(nearest, groups):
                 nearest |= {name}
-        self.reading = {"number": self.last_number, "tokens": tokens, "until": now + READ_TIMEOUT_S,
-                        "more": now + READ_ESCALATION_S, "answers": {}, "whom": voters, "asked": nearest,
-                        "cell": self._newest_register(), "lives": dict(self._later_incarnations()),
-                        "mark": checksum(self._later_incarnations())}
+        self.reading = {"number": self.last_number, "tokens": tokens, "expires_at": now + READ_TIMEOUT_S,
+                        "escalate_at": now + READ_ESCALATION_S, "answers": {}, "voters": voters, "asked": nearest,
+                        "known_register": self._newest_register(),
+                        "incarnations": dict(self._later_incarnations()),
+                        "checksum": checksum(self._later_incarnations())}
         for name in sorted(nearest - {self.me}):
             self._send(name, self._peek_message())
         if self.me in voters and not self.disk_error:
@@ -744,21 +745,21 @@
 
     def _peek_message(self) -> list:
         reading = self.reading
-        return ["peek", reading["number"], reading["cell"].accepted, reading["mark"]]
+        return ["peek", reading["number"], reading["known_register"].accepted, reading["checksum"]]
 
     def _peek_remaining(self) -> None:
         """Asks the remaining voters."""
         reading = self.reading
-        for name in sorted(reading["whom"] - reading["asked"] - {self.me}):
+        for name in sorted(reading["voters"] - reading["asked"] - {self.me}):
             self._send(name, self._peek_message())
-        reading["asked"] = reading["whom"]
+        reading["asked"] = reading["voters"]
 
     def _on_peeked(self, peer: str, now: float, number: int, name: str, incarnation: int, ok: bool, promised: list,
                    accepted: list, incarnations: list, value: object) -> None:
         if self.reading is None or self.reading["number"] != number:
             return
         self._update_incarnations(incarnations)
-        register = self.reading["cell"]
+        register = self.reading["known_register"]
         value = register.value if ballot_of(accepted) == register.accepted else value
         self._handle_peek_reply(
             PromiseReply(name, incarnation, ok, ballot_of(promised), ballot_of(accepted), value), now)
@@ -769,7 +770,7 @@
         If a majority that includes such a vote holds a value alike, another acceptor of that majority accepted the
         value after it had learnt of the new incarnation; so its answer names that incarnation.
         """
-        newest, answers = self.reading["lives"], self.reading["answers"]
+        newest, answers = self.reading["incarnations"], self.reading["answers"]
         for name, incarnation in incarnations:
             newest[name] = self.known_incarnations[name] = max(
                 incarnation, newest.get(name, 0), self.known_incarnations.get(name, 0))
@@ -779,7 +780,7 @@
     def _handle_peek_reply(self, reply: PromiseReply, now: float) -> None:
         reading = self.reading
         answers = reading["answers"]
-        if reply.incarnation < reading["lives"].get(reply.name, 0):
+        if reply.incarnation < reading["incarnations"].get(reply.name, 0):
             return
         answers[reply.name] = reply
         newest = max((answer for answer in answers.values() if answer.ok and answer.value),
@@ -799,9 +800,9 @@
                 self._send(REGISTRY, ["newest", token, newest.value])
             return self._begin_read(now)
         voting = frozenset(answer.name for answer in answers.values() if answer.ok)
-        if reading["asked"] != reading["whom"] and reading["asked"] <= answers.keys():
+        if reading["asked"] != reading["voters"] and reading["asked"] <= answers.keys():
             return self._peek_remaining()
-        if all(reading["whom"] & group <= answers.keys() for group in groups) and is_quorum(voting, groups):
+        if all(reading["voters"] & group <= answers.keys() for group in groups) and is_quorum(voting, groups):
             # All answered, and no majority holds the same value: a change is under way.  Usually its own round
             # ends it.
             self.unmatched_peeks += 1
