--- a/fennelpoint/system/store/replica.py
+++ b/fennelpoint/system/store/replica.py
@@ -242,7 +242,8 @@
             self.actions += [Save(self.acceptor, is_full=True)] if self.acceptor.can_vote else []
             self.actions.append(DiskSynced())
         self._run_first(now)
-        if self.reading is not None and now >= self.reading["escalate_at"] and self.reading["asked"] != self.reading["voters"]:
+        if self.reading is not None and now >= self.reading["escalate_at"] and (
+                self.reading["asked"] != self.reading["voters"]):
             self._peek_remaining()
         if self.reading is not None and now >= self.reading["expires_at"]:
             voting = frozenset(reply.name for reply in self.reading["answers"].values() if reply.ok)
