--- a/fennelpoint/fleet/consensus.py
+++ b/fennelpoint/fleet/consensus.py
@@ -93,7 +93,7 @@
         return AcceptReply(name, life, ok, ballot_of(promised))
     name, votes, lives, cells = value["known"]
     return RejoinReply(name, votes, tuple((n, int(life)) for n, life in lives),
-                 tuple((key, RegisterState(ballot_of(p), ballot_of(a), held)) for key, (p, a, held) in cells))
+                       tuple((key, RegisterState(ballot_of(p), ballot_of(a), held)) for key, (p, a, held) in cells))
 
 
 def encode_message(message: Message) -> dict:
--- a/tests/fleet/test_register.py
+++ b/tests/fleet/test_register.py
@@ -169,7 +169,7 @@
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 2)), min_size=1, max_size=5))
 def test_read_needs_equal_answers_of_a_voting_majority(answers):
     replies = {f"k{i}": PromiseReply(f"k{i}", 1, ok, (ballot, "p"), (ballot, "p"), ballot)
-            for i, (ok, ballot) in enumerate(answers)}
+               for i, (ok, ballot) in enumerate(answers)}
     found = majority_value(replies, 5)
     counts = [sum(ok and b == ballot for ok, b in answers) for ballot in range(3)]
     assert (found is not None) == (max(counts) >= 3)
