--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from fennelpoint.fleet.register import Cell, Hello, Keeper, handle
+from fennelpoint.fleet.register import Acceptor, RegisterState, RejoinRequest, handle
 from fennelpoint.system.incarnation import first_number, same_life
 from fennelpoint.system.proxy import core_session
 from fennelpoint.system.proxy.core_session import CoreSession
@@ -19,8 +19,8 @@
 from fennelpoint.system.registry.grants import GRANT_TTL_S, TOTAL_SHARES
 from fennelpoint.system.registry.leader_lease import LEASE_S, LeaderLease
 from fennelpoint.system.store import replica
-from fennelpoint.system.store.replica import FOUNDED, KEY, Send, Store
-from fennelpoint.system.store.replicated_state import empty
+from fennelpoint.system.store.replica import FOUNDING_BALLOT, KEY, Replica, Send
+from fennelpoint.system.store.replicated_state import initial_state
 from fennelpoint.testing.core_machines import Broken
 from fennelpoint.testing.core_simulation import play
 
@@ -136,45 +136,45 @@
 
 def test_a_stored_answer_to_an_earlier_incarnation_does_not_count_as_a_copy(fenced: bool) -> None:
     """The sender may have lost its disk since then; a configuration must be on a majority before it is agreed."""
-    def started(seed: int) -> tuple[Store, int]:
-        cell = Cell(FOUNDED, FOUNDED, empty(dict.fromkeys(("v1", "v2", "v3"), "z")))
-        replica_store = Store("v3", "z", {}, ["v1", "v2", "v3"], Keeper("v3", 1, True, {}, {KEY: cell}), False,
+    def started(seed: int) -> tuple[Replica, int]:
+        cell = RegisterState(FOUNDING_BALLOT, FOUNDING_BALLOT, initial_state(dict.fromkeys(("v1", "v2", "v3"), "z")))
+        replica_store = Replica("v3", "z", {}, ["v1", "v2", "v3"], Acceptor("v3", 1, True, {}, {KEY: cell}), False,
                               {}.get, Random(seed), 0.0)
-        actions = replica_store.heard("roll", ["change", 1, "put", [3, 0, "s", "d"], b"data"], 0.0)
+        actions = replica_store.receive("roll", ["change", 1, "put", [3, 0, "s", "d"], b"data"], 0.0)
         return replica_store, next(a.message[1] for a in actions if isinstance(a, Send) and a.message[0] == "store")
 
     (_, old_number), (store, number) = sorted((started(1), started(2)), key=lambda pair: -pair[1])
-    actions = store.heard("v1", ["stored", old_number, "v1", "d"], 0.1)
+    actions = store.receive("v1", ["stored", old_number, "v1", "d"], 0.1)
     assert any(isinstance(a, Send) and a.message[0] == "prepare" for a in actions) is not fenced
-    actions += store.heard("v1", ["stored", number, "v1", "d"], 0.2)
+    actions += store.receive("v1", ["stored", number, "v1", "d"], 0.2)
     assert any(isinstance(a, Send) and a.message[0] == "prepare" for a in actions)
 
 
 def test_an_answer_of_a_voter_from_before_its_disk_was_wiped_is_not_part_of_a_majority() -> None:
     """V1 answers, loses its disk and comes back without the value; then V2 accepts it.  Only V2 stores it then."""
-    value, newer = empty(dict.fromkeys(("v1", "v2", "v3"), "z")), None
+    value, newer = initial_state(dict.fromkeys(("v1", "v2", "v3"), "z")), None
     newer = {**value, "rev": 2, "version": 7}
-    old, new = Cell(FOUNDED, FOUNDED, value), Cell((5, "p"), (5, "p"), newer)
-    disks = {n: Keeper(n, 1, True, {}, {KEY: old}) for n in ("v1", "v2", "v3")}
-    reader = Store("v3", "z", {}, ["v1", "v2", "v3"], disks["v3"], False, {}.get, Random(1), 0.0)
-    requests = {a.to: a.message for a in reader.heard("roll", ["read", 9], 0.0) + reader.tick(0.2)
+    old, new = RegisterState(FOUNDING_BALLOT, FOUNDING_BALLOT, value), RegisterState((5, "p"), (5, "p"), newer)
+    disks = {n: Acceptor(n, 1, True, {}, {KEY: old}) for n in ("v1", "v2", "v3")}
+    reader = Replica("v3", "z", {}, ["v1", "v2", "v3"], disks["v3"], False, {}.get, Random(1), 0.0)
+    requests = {a.to: a.message for a in reader.receive("roll", ["read", 9], 0.0) + reader.tick(0.2)
             if isinstance(a, Send) and a.message[0] == "peek"}
 
-    def store(name: str, keeper: Keeper) -> Store:
-        return Store(name, "z", {}, ["v1", "v2", "v3"], keeper, False, {}.get, Random(1), 0.0)
+    def store(name: str, keeper: Acceptor) -> Replica:
+        return Replica(name, "z", {}, ["v1", "v2", "v3"], keeper, False, {}.get, Random(1), 0.0)
 
-    def answer(replica: Store) -> list:
-        (message,) = [a.message for a in replica.heard("v3", requests[replica.me], 0.1) if isinstance(a, Send)]
+    def answer(replica: Replica) -> list:
+        (message,) = [a.message for a in replica.receive("v3", requests[replica.me], 0.1) if isinstance(a, Send)]
         return message
 
-    first = answer(store("v1", Keeper("v1", 1, True, {}, {KEY: new})))
-    disks["v2"], _ = handle(disks["v2"], Hello("v1", 2))
-    second = answer(store("v2", Keeper("v2", 1, True, disks["v2"].lives, {KEY: new})))
-    actions = reader.heard("v1", first, 0.2) + reader.heard("v2", second, 0.2)
+    first = answer(store("v1", Acceptor("v1", 1, True, {}, {KEY: new})))
+    disks["v2"], _ = handle(disks["v2"], RejoinRequest("v1", 2))
+    second = answer(store("v2", Acceptor("v2", 1, True, disks["v2"].incarnations, {KEY: new})))
+    actions = reader.receive("v1", first, 0.2) + reader.receive("v2", second, 0.2)
     assert not [a for a in actions if isinstance(a, Send) and a.message[0] == "newest"]
     # Once V1 stores the value in its new incarnation as well, the two are a majority.
-    again = answer(store("v1", Keeper("v1", 2, True, {}, {KEY: new})))
-    actions = reader.heard("v1", again, 0.25)
+    again = answer(store("v1", Acceptor("v1", 2, True, {}, {KEY: new})))
+    actions = reader.receive("v1", again, 0.25)
     assert [a.message[2]["version"] for a in actions if isinstance(a, Send) and a.message[0] == "newest"] == [7]
 
 
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -67,12 +67,12 @@
 
     def has_recovered(self, ip: str) -> bool:
         """Whether a member votes and has the newest state and configuration, in its store and in its registry."""
-        core, newest = self.cores[ip], max(c.store.world.get("rev", -1) for c in self.cores.values() if c.up)
+        core, newest = self.cores[ip], max(c.store.state.get("rev", -1) for c in self.cores.values() if c.up)
         store, registry = core.store, core.registry
-        return (core.up and store.keeper.votes and store.world.get("version") == self.changes_made
+        return (core.up and store.acceptor.can_vote and store.state.get("version") == self.changes_made
                 and registry.cluster_state.get("rev", -1) >= newest - 1
-                and registry.allocation.parameters.digest == store.world["digest"]
-                and store.world["digest"] in core.contents)
+                and registry.allocation.parameters.digest == store.state["digest"]
+                and store.state["digest"] in core.contents)
 
     def recover(self, ip: str) -> tuple[float, int]:
         """Start a member; return the seconds until it has recovered, and the bytes sent to it within 2 s."""
@@ -120,8 +120,8 @@
             self.run(self.now + 3.0)
             measured[f"{kind}, s"], measured[f"{kind}, bytes"] = self.recover("b1")
         cores = list(self.cores.values())
-        measured["value, bytes"] = len(pack(cores[0].store.world))
-        measured["fronts"] = len(cores[0].store.world["fronts"])
+        measured["value, bytes"] = len(pack(cores[0].store.state))
+        measured["fronts"] = len(cores[0].store.state["fronts"])
         measured["on disk"] = max(len(c.contents) for c in cores)
         measured["on disk, bytes"] = max(sum(map(len, c.contents.values())) for c in cores)
         measured["in memory"] = max(count_items(core.store) + count_items(core.registry) for core in cores)
--- a/tests/system/test_parts.py
+++ b/tests/system/test_parts.py
@@ -31,7 +31,7 @@
 from fennelpoint.system.registry.live_proxies import LiveProxies
 from fennelpoint.system.registry.outstanding_grants import Resource, max_shares_in_use
 from fennelpoint.system.registry.proxy_enrollment import ProxyEnrollment
-from fennelpoint.system.store.replicated_state import dismiss, empty, enrol, lead
+from fennelpoint.system.store.replicated_state import add_proxies, begin_term, initial_state, remove_proxies
 
 PROXIES, RATES = ("f1", "f2", "f3"), {"t1": 20.0, "t2": 3.0}
 BURST, SLACK, WINDOW = 4.0, 20.0, 5.0
@@ -59,7 +59,7 @@
 class AllocationMachine(RuleBasedStateMachine):
     """Proxies, successive allocators, and messages that are delayed, duplicated or lost."""
 
-    CHANGES = {"enrol": enrol, "dismiss": dismiss}
+    CHANGES = {"enrol": add_proxies, "dismiss": remove_proxies}
 
     @initialize()
     def begin(self) -> None:
@@ -67,7 +67,7 @@
         self.proxies: dict[str, CoreSession] = {}
         self.delayed_requests: list[tuple] = []  # in transit, also after a restart of their proxy
         self.grants_in_transit: list[tuple[str, list]] = []  # by proxy
-        self.agreed = enrol(list(PROXIES))(empty({"a": "za"}))
+        self.agreed = add_proxies(list(PROXIES))(initial_state({"a": "za"}))
         self.allocators: list[AllocatorTerm] = []  # the newest last; earlier ones still grant for a while
         self.pool_units_used: list[tuple[float, int]] = []  # units of t2 from the pool
         self.takeovers_at: list[float] = []  # starts of the allocators after the first
@@ -212,7 +212,7 @@
         if self.allocators:
             self.allocators[-1].until = min(self.allocators[-1].until, self.now + READ_VALIDITY_S)
             self.takeovers_at.append(self.now)
-        self.agreed = lead()(self.agreed)
+        self.agreed = begin_term()(self.agreed)
         allocator = Allocator([self.agreed["term"], "b"], self.agreed["fronts"], self.now)
         self.allocators = [*self.allocators[-2:], AllocatorTerm(allocator, self.agreed)]
 
@@ -273,7 +273,10 @@
 class UnfencedDismissals(AllocationMachine):
     """Plants a fault: dismissals without a check that their term is still current."""
 
-    CHANGES = {"enrol": enrol, "dismiss": lambda fronts, term: lambda world: dismiss(fronts, world["term"])(world)}
+    CHANGES = {
+        "enrol": add_proxies,
+        "dismiss": lambda fronts, term: lambda world: remove_proxies(fronts, world["term"])(world),
+    }
 
 
 AllocationMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=40)
