--- a/fennelpoint/settings.py
+++ b/fennelpoint/settings.py
@@ -1,7 +1,7 @@
-"""The settings that an instance is told, from the wire's names to `interface.Settings`.
+"""Parses the settings of an instance into `interface.Settings`.
 
-Both hosts use these tables: the adapter gets flat `path=value` lines, the ingress nested JSON.  JSON is
-flattened to the same paths first, so a field is named, checked and complained of in one way.
+Both hosts use these tables: the adapter gets flat `path=value` lines, the ingress nested JSON.  JSON is flattened
+to the same paths first, so that both forms have the same names, checks and error messages.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or can't be read; the text names it."""
+    """A setting is missing or invalid; the text names it."""
 
 
 def _number(value: object) -> float:
@@ -23,9 +23,9 @@
     return float(value)
 
 
-def _whole(value: object) -> int:
+def _integer(value: object) -> int:
     number = _number(value)
-    if number != number // 1:  # also nan and the infinities, which int() would only trip over
+    if number != number // 1:  # also rejects nan and infinities, on which int() raises other errors
         raise ValueError(f"{value!r} is not a whole number")
     return int(number)
 
@@ -38,37 +38,37 @@
     return value == "true"
 
 
-def _text(value: object) -> str:
+def _string(value: object) -> str:
     if not isinstance(value, str):
-        raise ValueError(f"{value!r} is not a text")
+        raise ValueError(f"{value!r} is not a string")
     return value
 
 
-def _words(value: object) -> list[str]:
+def _strings(value: object) -> list[str]:
     if isinstance(value, list):
-        return [_text(word) for word in value]
-    return [word for word in _text(value).split(",") if word]
+        return [_string(item) for item in value]
+    return [item for item in _string(value).split(",") if item]
 
 
 def _effect(value: object) -> api.Effect:
-    if (text := _text(value)) not in EFFECTS:
+    if (text := _string(value)) not in EFFECTS:
         raise ValueError(f"unknown effect {text!r}")
     return EFFECTS[text]
 
 
 Table = dict[str, tuple[str, Callable]]
 
-NEEDED: Table = {
-    "me": ("me", _whole), "ingresses": ("balancers", _whole), "zone": ("zone", _whole),
-    "max_attempts": ("bounds.max_attempts", _whole), "drain_grace": ("rules.drain_grace_s", _number),
+REQUIRED: Table = {
+    "me": ("me", _integer), "ingresses": ("balancers", _integer), "zone": ("zone", _integer),
+    "max_attempts": ("bounds.max_attempts", _integer), "drain_grace": ("rules.drain_grace_s", _number),
     "cold_share": ("rules.cold_share", _number), "ramp_time": ("rules.ramp_time_s", _number),
     "tip_multiple": ("rules.tip_multiple", _number), "fall_span": ("rules.fall_s", _number),
     "answer_slack": ("rules.answer_slack_s", _number), "tick": ("tick_s", _number),
 }
 OPTIONAL: Table = {
-    "report_fields": ("report.fields", _words), "report_via": ("report.via", _text),
-    "discovery": ("discovery", _text), "ask_every": ("rules.ask_every_s", _number),
-    "weights": ("weights", _text), "zones": ("zones", _words), "kinds": ("shapes", _words),
+    "report_fields": ("report.fields", _strings), "report_via": ("report.via", _string),
+    "discovery": ("discovery", _string), "ask_every": ("rules.ask_every_s", _number),
+    "weights": ("weights", _string), "zones": ("zones", _strings), "kinds": ("shapes", _strings),
     "has_counter": ("extra.has_counter", _flag), "counter_timeout": ("extra.count_wait_s", _number),
     "counter_fee": ("extra.count_fee", _number), "meter_period": ("extra.metering_s", _number),
     "trued_up": ("extra.trued_up", _flag), "most_units": ("extra.units_top", _number),
@@ -78,25 +78,25 @@
     "may_advise": ("bounds.retry_after", _flag), "max_advice": ("bounds.max_retry_after_s", _number),
     "connect_timeout": ("bounds.connect_timeout_s", _number), "idle_close": ("bounds.idle_close_s", _number),
 }
-CLASS_NEEDED: Table = {"name": ("name", _text), "aim": ("aim_s", _number), "deadline": ("give_up_s", _number),
+CLASS_REQUIRED: Table = {"name": ("name", _string), "aim": ("aim_s", _number), "deadline": ("give_up_s", _number),
                        "worth": ("worth", _number), "effect": ("repeat", _effect)}
 CLASS_OPTIONAL: Table = {"group": ("group", api.Group), "window": ("window_s", _number),
                          "late_worth": ("late_worth", _number), "aim_stretch": ("aim_stretch", _number),
                          "streamed": ("stream", _flag)}
-PLAN_NEEDED: Table = {"name": ("name", _text), "price": ("pays", _number)}
+PLAN_REQUIRED: Table = {"name": ("name", _string), "price": ("pays", _number)}
 PLAN_OPTIONAL: Table = {"rate": ("quota_rate", _number), "burst": ("store_size", _number),
-                        "open_limit": ("concurrency", _whole), "over_worth": ("extra_worth", _number),
+                        "open_limit": ("concurrency", _integer), "over_worth": ("extra_worth", _number),
                         "over_cost": ("overrun_cost", _number), "ceiling_rate": ("ceiling_rate", _number),
                         "ceiling_burst": ("cap_depth", _number), "ceiling_slack": ("cap_slack", _number)}
 
 
-def _fields(values: Mapping[str, object], prefix: str, needed: Table, optional: Table) -> dict:
+def _fields(values: Mapping[str, object], prefix: str, required: Table, optional: Table) -> dict:
     out = {}
-    for table, must in ((needed, True), (optional, False)):
+    for table, is_required in ((required, True), (optional, False)):
         for name, (path, convert) in table.items():
             value = values.get(prefix + path)
             if value is None:
-                if must:
+                if is_required:
                     raise SettingsError(f"setting {prefix + path} is missing")
                 continue
             try:
@@ -106,26 +106,26 @@
     return out
 
 
-def _objects(values: Mapping[str, object], name: str, needed: Table, optional: Table, make: Callable) -> list:
-    count = _fields(values, "", {"count": (f"{name}.count", _whole)}, {})["count"]
-    return [make(**_fields(values, f"{name}.{i}.", needed, optional)) for i in range(count)]
+def _objects(values: Mapping[str, object], name: str, required: Table, optional: Table, make: Callable) -> list:
+    count = _fields(values, "", {"count": (f"{name}.count", _integer)}, {})["count"]
+    return [make(**_fields(values, f"{name}.{i}.", required, optional)) for i in range(count)]
 
 
 def from_paths(values: Mapping[str, object]) -> api.Settings:
-    """Settings from `path: value` pairs; paths that are not known here are ignored."""
+    """Build settings from `path: value` pairs; unknown paths are ignored."""
     return api.Settings(
-        classes=_objects(values, "grades", CLASS_NEEDED, CLASS_OPTIONAL, api.RequestClass),
-        plans=_objects(values, "contracts", PLAN_NEEDED, PLAN_OPTIONAL, api.Plan),
-        **_fields(values, "", NEEDED, OPTIONAL))
+        classes=_objects(values, "grades", CLASS_REQUIRED, CLASS_OPTIONAL, api.RequestClass),
+        plans=_objects(values, "contracts", PLAN_REQUIRED, PLAN_OPTIONAL, api.Plan),
+        **_fields(values, "", REQUIRED, OPTIONAL))
 
 
 def from_lines(text: str) -> api.Settings:
-    """Settings as the simulator's first message tells them."""
+    """Parse settings from the simulator's first message."""
     return from_paths(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
 
 def flatten(value: object, prefix: str = "") -> dict[str, object]:
-    """Nested JSON as the paths of the flat form; a list of objects tells its length under `.count`."""
+    """Flatten nested JSON to paths; the length of a list of objects is stored under `.count`."""
     if isinstance(value, list) and all(isinstance(item, dict) for item in value):
         value = {"count": len(value), **{str(i): item for i, item in enumerate(value)}} if value else value
     if not isinstance(value, dict):
@@ -137,7 +137,7 @@
 
 
 def from_json(value: object) -> api.Settings:
-    """Settings as an ingress finds them in its configuration."""
+    """Build settings from the JSON value in an ingress's configuration."""
     if not isinstance(value, dict):
         raise SettingsError("settings is not an object")
     return from_paths(flatten(value))
