--- a/fennelpoint/adapter.py
+++ b/fennelpoint/adapter.py
@@ -1,7 +1,7 @@
-"""Wire codec and loop: `python -m fennelpoint.adapter` hosts instances of the decision module.
+"""Wire codec and event loop: `python -m fennelpoint.adapter` runs instances of the decision module.
 
-Reads batches of events from standard input and writes one reply per batch to standard output.
-It only translates between the wire's words and `fennelpoint.interface`; it decides nothing.
+Reads batches of events from standard input and writes one reply per batch to standard output.  Translates between
+the wire format and `fennelpoint.interface`, and makes no decisions.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 
 
 class WireError(Exception):
-    """The input does not follow the wire; the text names the fault and where it stands."""
+    """The input violates the wire format; the text names the fault and its place."""
 
 
-# Events: record bytes to interface events.
+# Decoding of events
 
 
 class Reader:
-    """Takes fields from one record, checking that they fill it exactly."""
+    """Reads the fields of one record and checks that they fill it exactly."""
 
     def __init__(self, data: bytes, where: str) -> None:
         self.data, self.where, self.at = data, where, 0
@@ -52,9 +52,9 @@
         end = self.at + size
         if end > len(self.data):
             raise WireError(f"{self.where}: fields need {end} bytes, the record has {len(self.data)}")
-        part = self.data[self.at:end]
+        field = self.data[self.at:end]
         self.at = end
-        return part
+        return field
 
     def report(self) -> list[float]:
         (count,) = self.take("B")
@@ -69,9 +69,9 @@
         return table[code]
 
     def amount(self, value: float, what: str) -> float:
-        """A figure that has to be a number and can't be negative."""
+        """Return the value if it is finite and not negative; else raise WireError."""
         if not 0.0 <= value < math.inf:
-            raise WireError(f"{self.where}: {what} {value} is not a finite figure of 0 or more")
+            raise WireError(f"{self.where}: {what} {value} is not a finite number of 0 or more")
         return value
 
     def finish(self) -> None:
@@ -79,7 +79,7 @@
             raise WireError(f"{self.where}: fields end at {self.at} of {len(self.data)} bytes")
 
 
-def _registry(r: Reader) -> api.Roster:
+def _roster(r: Reader) -> api.Roster:
     kind, version, count = r.take("BQI")
     entries = []
     for _ in range(count):
@@ -135,11 +135,11 @@
 
 
 SPAWN, DETACH = 30, 70
-EVENTS = {10: _peer_message, 20: _client_gone, 40: _probe_result, 50: _registry, 60: _stream_started,
+EVENTS = {10: _peer_message, 20: _client_gone, 40: _probe_result, 50: _roster, 60: _stream_started,
           80: _request, 90: _counter_reply, 100: _outcome, 110: _timer_due}
 
 
-# Actions: interface actions to record bytes.
+# Encoding of actions
 
 
 def _text(text: str) -> bytes:
@@ -174,13 +174,13 @@
 
 
 class Host:
-    """The instances of this process; they share nothing but the loop."""
+    """The controller instances of this process; they share only the event loop."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Controller] = {}
 
     def record(self, code: int, data: bytes, now: float, where: str) -> list[bytes]:
-        """Give one event to its instance; the encoded actions it answers with."""
+        """Pass one event to its instance; returns the encoded actions."""
         reader = Reader(data, where)
         (instance,) = reader.take("I")
         if code == SPAWN:
@@ -189,24 +189,24 @@
                 settings = from_lines(reader.raw(size).decode())
             except ValueError as error:
                 raise WireError(f"{where}: {error}") from None
-            step = lambda: self.start(instance, settings, seed, now)  # noqa: E731
+            run = lambda: self.start(instance, settings, seed, now)  # noqa: E731
         elif code == DETACH:
-            step = lambda: self.instances.pop(instance, None) and []  # noqa: E731
+            run = lambda: self.instances.pop(instance, None) and []  # noqa: E731
         elif code in EVENTS:
             event = EVENTS[code](reader)
             if isinstance(event, api.Request):
                 self.check(instance, event, where)
-            step = lambda: self.handle(instance, event, now)  # noqa: E731
+            run = lambda: self.handle(instance, event, now)  # noqa: E731
         else:
             raise WireError(f"{where}: unknown event code {code}")
         reader.finish()
         try:
-            return [encode(instance, *ACTIONS[type(action)](action)) for action in step() or []]
-        except Exception as error:  # a defect in the decisions: declare it to the host of the wire
+            return [encode(instance, *ACTIONS[type(action)](action)) for action in run() or []]
+        except Exception as error:  # a bug in the decision module: report it to the peer
             return [encode(instance, DIE, _text(f"{type(error).__name__}: {error}"))]
 
     def check(self, instance: int, ask: api.Request, where: str) -> None:
-        """Refuse a request of a class or plan that the instance's settings don't have."""
+        """Raise WireError for a request whose class or plan is not in the instance's settings."""
         if (controller := self.instances.get(instance)) is None:
             return
         for index, known, what in ((ask.cls, controller.settings.classes, "class"),
@@ -220,38 +220,38 @@
 
     def handle(self, instance: int, event: api.Event, now: float) -> list[api.Action]:
         controller = self.instances.get(instance)
-        return controller.handle(event, now) if controller else []  # a stopped instance is owed nothing
+        return controller.handle(event, now) if controller else []  # a stopped instance ignores events
 
     def batch(self, body: bytes, count: int, now: float, number: int) -> bytes:
-        """The reply to one batch."""
-        out, at = [], 0
+        """Process one batch; returns the encoded reply."""
+        out, offset = [], 0
         for index in range(count):
             where = f"batch {number}, record {index}"
-            if at + RECORD_HEADER.size > len(body):
+            if offset + RECORD_HEADER.size > len(body):
                 raise WireError(f"{where}: the batch ends at byte {len(body)}")
-            code, size = RECORD_HEADER.unpack_from(body, at)
-            at += RECORD_HEADER.size
-            if at + size > len(body):
+            code, size = RECORD_HEADER.unpack_from(body, offset)
+            offset += RECORD_HEADER.size
+            if offset + size > len(body):
                 raise WireError(f"{where}: length {size} passes the end of the batch")
-            out += self.record(code, body[at:at + size], now, where)
-            at += size
-        if at != len(body):
-            raise WireError(f"batch {number}: {len(body) - at} bytes after its last record")
+            out += self.record(code, body[offset:offset + size], now, where)
+            offset += size
+        if offset != len(body):
+            raise WireError(f"batch {number}: {len(body) - offset} bytes after its last record")
         reply = b"".join(out)
         return REPLY_HEADER.pack(len(reply), len(out)) + reply
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """As many bytes as asked for, however the stream chops them; fewer only at its end."""
-    parts, missing = [], size
-    while missing and (part := stream.read(missing)):
-        parts.append(part)
-        missing -= len(part)
-    return b"".join(parts)
+    """Read `size` bytes, in as many reads as needed; fewer only at the end of the stream."""
+    chunks, missing = [], size
+    while missing and (chunk := stream.read(missing)):
+        chunks.append(chunk)
+        missing -= len(chunk)
+    return b"".join(chunks)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Process batches until the input ends."""
     host, number = Host(), 0
     while header := read_exactly(source, BATCH_HEADER.size):
         if len(header) < BATCH_HEADER.size:
