--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -474,12 +474,12 @@
             self.mixed = False
         else:
             return
-        self.ingress.host.post(api.Figures(self.plans, self.stamp, self.mixed))
+        self.ingress.host.post(api.PlansChanged(self.plans, self.stamp, self.mixed))
 
     def sweep(self) -> None:
         if self.calm_at and steady() >= self.calm_at:
             self.calm_at, self.mixed = 0.0, False
-            self.ingress.host.post(api.Figures(self.plans, self.stamp, False))
+            self.ingress.host.post(api.PlansChanged(self.plans, self.stamp, False))
         if self.licence.open:
             self.may_send()
 
--- a/fennelpoint/handover_record.py
+++ b/fennelpoint/handover_record.py
@@ -1,6 +1,6 @@
-"""The record that one process of an ingress leaves for the next: schema, generations, time, checksum, state.
+"""Codec of the handover record between two processes of an ingress: schema, generations, time, checksum, state.
 
-Pure: bytes in and out.  What can't be used raises `BadRecord` with the reason in one line.
+Without input or output: bytes in, bytes out.  An unusable record raises `BadRecord` with the reason in one line.
 """
 
 from __future__ import annotations
@@ -12,47 +12,47 @@
 from math import isfinite
 
 SCHEMA = 1
-MOST = 2 * 1024 * 1024  # bytes
-OLDEST, AHEAD = 10.0, 1.0   # s; older tells little, and from the future comes nothing true
+MAX_BYTES = 2 * 1024 * 1024
+MAX_AGE_S, MAX_AHEAD_S = 10.0, 1.0   # older state is of little use; a time in the future is wrong
 MAGIC = b"larchwing handover "
 
 
 class BadRecord(ValueError):
-    """Why a record is not used."""
+    """The record can't be used; the text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
     name: str           # of the ingress
     listen: str
-    writer: int         # generation
-    reader: int
+    writer: int         # its generation
+    reader: int         # the generation that it is for
     at: float           # Unix time
-    last: bool = False  # the writer ends
+    last: bool = False  # the writer ends after it
     state: dict = field(default_factory=dict)
 
 
 def encode(record: Record) -> bytes:
-    """The record as text; customers are left out from the end, the longest unseen, until it fits."""
+    """Encode the record; drops customers from the end, the least recently seen, until it fits."""
     state = dict(record.state)
     while True:
         body = json.dumps({"name": record.name, "listen": record.listen, "writer": record.writer,
                            "reader": record.reader, "at": record.at, "last": record.last, "state": state},
                           separators=(",", ":"), allow_nan=False).encode()
-        if len(body) <= MOST:
+        if len(body) <= MAX_BYTES:
             break
         lists = [n for n in state if isinstance(state[n], list)]
         long = max(lists, key=lambda n: len(state[n]), default=None)
         if long is None or not state[long]:
-            raise ValueError("a record that can't be cut to its bound")
+            raise ValueError("the record is too large, and has no list to shorten")
         state[long] = state[long][:len(state[long]) // 2]
     return b"%b%d %b\n%b\n" % (MAGIC, SCHEMA, hashlib.sha256(body).hexdigest().encode(), body)
 
 
 def decode(data: bytes, name: str, listen: str, reader: int, now: float) -> Record:
-    """A record for this process; raises BadRecord."""
-    if len(data) > MOST + 200:
-        raise BadRecord(f"it is larger than {MOST} bytes")
+    """Decode and check a record for this process; raises BadRecord."""
+    if len(data) > MAX_BYTES + 200:
+        raise BadRecord(f"it is larger than {MAX_BYTES} bytes")
     head, _, body = data.partition(b"\n")
     words = head.removeprefix(MAGIC).split(b" ")
     if not head.startswith(MAGIC) or len(words) != 2:
@@ -76,24 +76,24 @@
         raise BadRecord(f"it is of {str(record.name)[:40]!r} at {str(record.listen)[:40]!r}")
     if record.reader != reader:
         raise BadRecord(f"it is for generation {record.reader}, and this is {reader}")
-    if not now - OLDEST <= record.at <= now + AHEAD:
+    if not now - MAX_AGE_S <= record.at <= now + MAX_AHEAD_S:
         raise BadRecord(f"it is {now - record.at:.1f} s old")
     return record
 
 
-# What a state that was read may be taken for
+# Validation of a decoded state
 
 def finite(values: Iterable[object]) -> bool:
-    """Whether all of them are numbers that can be reckoned with."""
+    """Whether all values are finite numbers (and not booleans)."""
     return all(isinstance(v, int | float) and not isinstance(v, bool) and isfinite(v) for v in values)
 
 
-def entries(told: object) -> list:
-    return told if isinstance(told, list) else []
+def entries(value: object) -> list:
+    return value if isinstance(value, list) else []
 
 
-def same_shape(told: object, own: list[list[float]]) -> bool:
-    """Whether it is a table of numbers, as large as our own."""
-    return isinstance(told, list) and len(told) == len(own) and all(
-        isinstance(row, list) and len(row) == len(mine) and finite(row)
-        for row, mine in zip(told, own, strict=True))
+def same_shape(value: object, expected: list[list[float]]) -> bool:
+    """Whether the value is a table of finite numbers of the expected size."""
+    return isinstance(value, list) and len(value) == len(expected) and all(
+        isinstance(row, list) and len(row) == len(expected_row) and finite(row)
+        for row, expected_row in zip(value, expected, strict=True))
--- a/fennelpoint/interface.py
+++ b/fennelpoint/interface.py
@@ -1,8 +1,8 @@
-"""The types that the decision module takes and gives: settings, events and actions.
+"""Types of the decision module's interface: settings, events and actions.
 
-A host builds one `fennelpoint.control.Controller` from `Settings`, hands it every event with the
-time it happened, and carries out the actions it returns, in order.  Times are seconds; ids are
-opaque and only compared.  A zero or empty setting means that the site has no such thing.
+A host creates a `fennelpoint.control.Controller` from `Settings`, passes it each event with the time of the event,
+and carries out the returned actions in order.  Times are in seconds; ids are opaque and only compared.  A setting
+of zero or an empty one means that the site does not have the feature.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Effect(Enum):
-    """May a request of this class run more than once?"""
+    """Whether a request of this class may run more than once; `KEYED`: backends drop repeats by a key."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -21,7 +21,7 @@
 
 
 class Group(Enum):
-    """Which backends drop the repeats of a keyed request."""
+    """The backends among which repeats of a keyed request are dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,11 +39,11 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"
-    ELSEWHERE = "elsewhere"     # another backend answered at its address, and has not run it
+    ELSEWHERE = "elsewhere"     # another backend answered at its address and did not run the request
 
     @property
     def never_ran(self) -> bool:
-        """Whether this outcome proves that the attempt had no effect."""
+        """Whether this outcome proves that the request did not run."""
         return self in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.ELSEWHERE)
 
 
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """Quotas of each customer of the plan, over all ingresses together; a rate of 0 is none."""
+    """Quota of each customer of the plan, over all ingresses together; a rate of 0 means no quota."""
 
     name: str
     price: float
@@ -117,33 +117,33 @@
     trued_up: bool = False
     most_units: float = 0.0
     may_probe: bool = False
-    probe_price: float = 0.0    # taken off the site's result at one probe a first try
+    probe_price: float = 0.0    # cost to the site's result of one probe per request
     may_message: bool = False
     may_cancel: bool = False
     may_copy: bool = False
     may_advise: bool = False
     max_advice: float = 0.0
     connect_timeout: float = 0.0
-    idle_close: float = 0.0     # s after which a backend closes an idle connection
-    zones: list[str] = field(default_factory=list)  # names; a zone or kind elsewhere is an index here
+    idle_close: float = 0.0     # seconds after which a backend closes an idle connection
+    zones: list[str] = field(default_factory=list)  # names; elsewhere a zone or kind is an index into these
     kinds: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Refuse settings that can't work, naming the field."""
+        """Reject invalid settings; the ValueError names the field."""
         if not self.classes:
-            raise ValueError("classes: there must be one at least")
+            raise ValueError("classes: at least one is required")
         if not self.plans:
-            raise ValueError("plans: there must be one at least")
+            raise ValueError("plans: at least one is required")
         for name in ("ingresses", "max_attempts"):
             if getattr(self, name) < 1:
-                raise ValueError(f"{name}: {getattr(self, name)} is under 1")
-        parts = [("", self), *((f"classes[{i}].", c) for i, c in enumerate(self.classes)),
+                raise ValueError(f"{name}: {getattr(self, name)} is less than 1")
+        sections = [("", self), *((f"classes[{i}].", c) for i, c in enumerate(self.classes)),
                  *((f"plans[{i}].", p) for i, p in enumerate(self.plans))]
-        for prefix, part in parts:
-            for item in fields(part):
-                value = getattr(part, item.name)
+        for prefix, section in sections:
+            for item in fields(section):
+                value = getattr(section, item.name)
                 if isinstance(value, int | float) and not 0.0 <= value < inf:
-                    raise ValueError(f"{prefix}{item.name}: {value} is not a finite figure of 0 or more")
+                    raise ValueError(f"{prefix}{item.name}: {value} is not a finite number of 0 or more")
         for i, c in enumerate(self.classes):
             if not 0.0 < c.aim <= c.deadline:
                 raise ValueError(f"classes[{i}].aim: {c.aim} is not between 0 and the deadline {c.deadline}")
@@ -182,28 +182,28 @@
     first: float
     is_repeat: bool = False
     is_write: bool = False
-    coming: float = 0.0     # s until its last byte should have come; its times count from there
-    cell: str = ""          # whose backends may serve it; none: all
-    attempts: int = 0       # most backends that it may be sent to; 0: by the settings
+    coming: float = 0.0     # seconds until its last byte is expected; its times count from then
+    cell: str = ""          # the cell whose backends may serve it; empty: all
+    attempts: int = 0       # most attempts; 0: as in the settings
 
 
 @dataclass(slots=True)
-class Arrived:
-    """The last byte of a request that was asked for while it came."""
+class BodyReceived:
+    """The last byte of a request has arrived that was admitted during its upload."""
 
     request: int
 
 
 @dataclass(slots=True)
-class Spent:
-    """A part of a request's body is held no more: it can't be sent again, whatever became of it."""
+class BodyReleased:
+    """A part of the request's body is no longer buffered: it can't be retried, whatever the outcome."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Cell:
-    """A subset of the backends, and where its tries may go while none of them is left."""
+    """A subset of the backends, and the cell that its requests may use while none of them is left."""
 
     members: frozenset
     spill_to: str = ""
@@ -212,32 +212,32 @@
 
 @dataclass(slots=True)
 class Cells:
-    """All cells by name from now on, and the customers that were moved; waiting tries go with them."""
+    """All cells by name, and the cells of customers that were moved; their waiting requests move too."""
 
     cells: dict[str, Cell]
     moved: dict[int, str] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Twins:
-    """So many processes are this ingress from now on; this one has its part of what an ingress may take."""
+class ProcessCount:
+    """How many processes share this ingress; each has an equal part of what an ingress may take."""
 
     parts: int
 
 
 @dataclass(slots=True)
 class Barred:
-    """Whether nothing may be sent from now on: what waits and what comes is refused at once."""
+    """Whether sending is barred: waiting and new requests are refused at once."""
 
     barred: bool
 
 
 @dataclass(slots=True)
-class Figures:
-    """The plans from now on, by name and order the same.
+class PlansChanged:
+    """New values of the plans, in the same order and with the same names.
 
-    `stamp` tells these figures from all others: stores on the counter are kept apart by it.  `mixed`: other
-    ingresses may still go by others, so that no word of the counter counts.
+    `stamp` identifies this version of the plans and separates its stores on the counter.  `mixed`: other ingresses
+    may still use another version, so that counter replies are ignored.
     """
 
     plans: list[Plan]
@@ -246,8 +246,8 @@
 
 
 @dataclass(slots=True)
-class Told:
-    """What a process before this one knew, as it told it (`handover.py`)."""
+class PredecessorState:
+    """State handed over by the previous process of this ingress (`handover.py`)."""
 
     state: dict
 
@@ -263,12 +263,12 @@
     metered: int = 0
     true_units: float = 0.0
     report: list[float] = field(default_factory=list)
-    wrote: bool = False     # some of it was written: a backend may count it as received, whatever the status proves
+    wrote: bool = False     # partly written: a backend may count it as received, whatever the status proves
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer has begun to go to the client; it is this attempt's, and how it ends is told later."""
+    """The client has begun to receive this attempt's response; a later `Outcome` tells how it ends."""
 
     request: int
     attempt: int
@@ -308,8 +308,9 @@
     latency: float
 
 
-Event = (Roster | Request | Arrived | Spent | Cells | Barred | Figures | Twins | Told | Outcome
-         | StreamStarted | ClientGone | TimerDue | ProbeResult | PeerMessage | CounterReply)
+Event = (Roster | Request | BodyReceived | BodyReleased | Cells | Barred | PlansChanged | ProcessCount
+         | PredecessorState | Outcome | StreamStarted | ClientGone | TimerDue | ProbeResult | PeerMessage
+         | CounterReply)
 
 
 # Actions
@@ -317,7 +318,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Begin an attempt; a time-out of 0 lasts until the client stops waiting."""
+    """Start an attempt; with a time-out of 0 it may last until the client stops waiting."""
 
     request: int
     backend: object
@@ -328,7 +329,7 @@
 class Refuse:
     request: int
     retry_after: float = 0.0
-    over: bool = False      # for its quota, not for want of room
+    over: bool = False      # refused for its quota, not for lack of capacity
 
 
 @dataclass(slots=True)
@@ -383,7 +384,7 @@
 
 @dataclass(slots=True)
 class Count:
-    """Add an amount to a named number that the ingresses share."""
+    """Add an amount to a named counter that the ingresses share."""
 
     name: int
     amount: float
--- a/fennelpoint/net/controller_host.py
+++ b/fennelpoint/net/controller_host.py
@@ -204,7 +204,7 @@
         if ticket.asked.upload.whole and ticket.timer is None and not ticket.begun:
             ticket.deadline = self.clock() + ticket.asked.time_left
             ticket.timer = self.loop.call_later(ticket.asked.time_left, self._expire, ticket)
-            self.post(api.Arrived(request))
+            self.post(api.BodyReceived(request))
         for exchange in list(ticket.out.values()):
             exchange.push()
 
@@ -346,7 +346,7 @@
                 violations.record(Invariant.CLIENT_LEFT_NOTHING_SENT, f"request {ticket.id}")
             if ticket.asked.upload is None:
                 return ticket.asked.render(until - self.clock(), send.backend)
-            self.post(api.Spent(send.request))  # what is written is held no more
+            self.post(api.BodyReleased(send.request))  # what is written is held no more
             return ticket.asked.render(ticket.asked.time_left, send.backend)
 
         exchange = Exchange(render, done, begun, ticket.asked.upload, ticket.taken)
--- a/fennelpoint/net/hot_restart.py
+++ b/fennelpoint/net/hot_restart.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from fennelpoint.handover_record import MOST, BadRecord, Record, decode, encode
+from fennelpoint.handover_record import MAX_BYTES, BadRecord, Record, decode, encode
 from fennelpoint.rate_limited_log import log
 
 SERVES = b"serves\n"
@@ -105,7 +105,7 @@
         path = self._record(writer, self.generation, last)
         try:
             with path.open("rb") as file:
-                data = file.read(MOST + 1024)
+                data = file.read(MAX_BYTES + 1024)
             record = decode(data, self.name, self.listen, self.generation, time.time())
             if record.writer != writer or record.last is not last:
                 raise BadRecord(f"it is of generation {record.writer}")
--- a/fennelpoint/net/process_group.py
+++ b/fennelpoint/net/process_group.py
@@ -7,7 +7,7 @@
 from fennelpoint import interface as api
 from fennelpoint.component import Carrier, Part
 from fennelpoint.file_descriptors import plan
-from fennelpoint.handover import attach, tell, tell_rest
+from fennelpoint.handover import attach, final_snapshot, snapshot
 from fennelpoint.net.hot_restart import Relay
 from fennelpoint.rate_limited_log import log
 from fennelpoint.restart_coordination import Give, Serve, Share, Succession, Take
@@ -54,13 +54,13 @@
             if isinstance(step, Share):
                 room = plan(ingress.config.sockets, step.parts)
                 ingress.server.room, ingress.backends.most = room, room.upstream
-                ingress.host.post(api.Twins(step.parts))
+                ingress.host.post(api.ProcessCount(step.parts))
             elif isinstance(step, Give):
-                relay.write(step.generation, tell(ingress.host.controller, step.parts))
+                relay.write(step.generation, snapshot(ingress.host.controller, step.parts))
                 log.info("%s told generation %d", ingress.config.name, step.generation)
             elif isinstance(step, Take):
                 if (state := relay.read(step.generation, step.last)) is not None:
-                    ingress.host.post(api.Told(state))
+                    ingress.host.post(api.PredecessorState(state))
             elif isinstance(step, Serve):
                 task = ingress.loop.create_task(ingress.server.listen(ingress.config.inherited))
                 task.add_done_callback(lambda task: self._serve())
@@ -74,7 +74,7 @@
 
     def finish(self) -> None:
         if (newer := self.turn.successor) is not None:
-            self.relay.write(newer, tell_rest(self.ingress.host.controller), last=True)
+            self.relay.write(newer, final_snapshot(self.ingress.host.controller), last=True)
 
     def close(self) -> None:
         self.relay.close()
--- a/fennelpoint/queueing.py
+++ b/fennelpoint/queueing.py
@@ -1,4 +1,4 @@
-"""How long a try is held, when it is looked at again, and how one ends that has nothing out."""
+"""The wait queue: how long requests wait, when they are checked again, and how they are refused."""
 
 from __future__ import annotations
 
@@ -6,60 +6,61 @@
 from math import inf
 
 from fennelpoint import interface as api
-from fennelpoint.bookkeeping import PUMP, PUMP_TOKEN, Concern, Ground, allowed
+from fennelpoint.bookkeeping import CHECK_S, CHECK_TOKEN, Context, Policy, may_send
 from fennelpoint.quotas import Quotas
 from fennelpoint.regulation import Regulation
-from fennelpoint.selection import LATE_MARGIN, REST_MOST, Selection
-from fennelpoint.state import Try
+from fennelpoint.selection import AIM_MARGIN, MAX_REST_S, Selection
+from fennelpoint.state import PendingRequest
 
 
-class Waiting(Concern):
-    """The waiting line; the records of it are `Line`'s."""
+class WaitQueue(Policy):
+    """Queues requests that wait; the records are `RequestTable`'s."""
 
-    def __init__(self, ground: Ground, quotas: Quotas, selection: Selection, regulation: Regulation,
-                 place: Callable[[Try, float], bool]) -> None:
-        super().__init__(ground)
-        self.quotas, self.selection, self.regulation, self.place = quotas, selection, regulation, place
+    def __init__(self, context: Context, quotas: Quotas, selection: Selection, regulation: Regulation,
+                 try_send: Callable[[PendingRequest, float], bool]) -> None:
+        super().__init__(context)
+        self.quotas, self.selection, self.regulation, self.try_send = quotas, selection, regulation, try_send
 
-    def hold(self, t: Try, now: float) -> None:
-        """Keep it until it may be sent, or its aim is out of reach; half of its time if no backend had it."""
-        margin = LATE_MARGIN * self.selection.usual[t.ask.cls]
-        t.last = min(t.aim_at - margin, t.ends, inf if t.reached else t.half)
-        self.line.hold(t)
-        self.out += self.timers.wake(PUMP_TOKEN, min(self.due(t, now), t.last), now)
+    def enqueue(self, req: PendingRequest, now: float) -> None:
+        """Queue it until it may be sent or can't meet its aim; for half of its time if no backend had it."""
+        margin = AIM_MARGIN * self.selection.usual[req.request.cls]
+        req.wait_until = min(req.aim_at - margin, req.ends_at, inf if req.reached else req.half_time_at)
+        self.requests.enqueue(req)
+        self.actions += self.timers.schedule(CHECK_TOKEN, min(self.check_at(req, now), req.wait_until), now)
 
-    def due(self, t: Try, now: float) -> float:
-        """When to look at a held try again; guards the CPU: not before its bucket can hold its units."""
-        c, plan, soon = t.customer, self.settings.plans[t.customer.plan], max(now + PUMP, t.not_before)
-        if t.charged or t.inside is not None or not plan.rate or plan.over_worth > 0.0:
-            return soon
-        return max(soon, c.filled + self.quotas.wait(t, 0.0, now))
+    def check_at(self, req: PendingRequest, now: float) -> float:
+        """When to check a waiting request again: to save CPU, not before its bucket can hold its units."""
+        c, plan, at = req.customer, self.settings.plans[req.customer.plan], max(now + CHECK_S, req.not_before)
+        if req.charged or req.within_quota is not None or not plan.rate or plan.over_worth > 0.0:
+            return at
+        return max(at, c.filled_at + self.quotas.wait_s(req, 0.0, now))
 
-    def pump(self, now: float) -> None:
-        """Release held tries, the highest worth first; end those that can't make it any more."""
+    def dispatch(self, now: float) -> None:
+        """Send waiting requests, the highest worth first; end those that can't meet their aim any more."""
         soonest = inf
-        for t in self.line.by_worth():
-            if not self.selection.route(t, now):
-                self.refuse(t, now, REST_MOST)
+        for req in self.requests.by_worth():
+            if not self.selection.route(req, now):
+                self.refuse(req, now, MAX_REST_S)
                 continue
-            # Once as much is out as may be, the rest needn't ask: guards the CPU with a long line.
-            if now >= t.not_before and t.crowd.quiet() < max(1.0, t.crowd.window) and self.place(t, now):
+            # Skips `try_send` while the window is full: saves CPU with a long queue.
+            if (now >= req.not_before and req.limiter.live_in_flight() < max(1.0, req.limiter.window)
+                    and self.try_send(req, now)):
                 continue
-            if now >= t.last:
-                t.customer.ratios.append(1.0)
-                self.regulation.activate(t.customer, now)
-                self.refuse(t, now, 0.0)
+            if now >= req.wait_until:
+                req.customer.ratios.append(1.0)
+                self.regulation.activate(req.customer, now)
+                self.refuse(req, now, 0.0)
             else:
-                soonest = min(soonest, max(now + PUMP, min(self.due(t, now), t.last)))
-        self.out += self.timers.wake(PUMP_TOKEN, soonest, now)
+                soonest = min(soonest, max(now + CHECK_S, min(self.check_at(req, now), req.wait_until)))
+        self.actions += self.timers.schedule(CHECK_TOKEN, soonest, now)
 
-    def refuse(self, t: Try, now: float, wait: float) -> None:
-        """End a try that has nothing out: refused where that promise is true, else failed."""
-        cls = self.settings.classes[t.ask.cls]
-        harmless = allowed(t, self.settings, now) and (
-            t.ran_at is None or cls.effect is api.Effect.SAFE or cls.group is api.Group.ALL)
-        t.customer.spared += t.ask.units * (not t.charged)
-        self.quotas.give_back(t, now)
-        advice = min(self.settings.max_advice, wait) if self.settings.may_advise else 0.0
-        self.out.append(api.Refuse(t.ask.request, advice) if harmless else api.Fail(t.ask.request))
-        self.line.end(t.ask.request)
+    def refuse(self, req: PendingRequest, now: float, wait: float) -> None:
+        """End a request without attempts in flight: refuse it if a retry is harmless, else fail it."""
+        cls = self.settings.classes[req.request.cls]
+        safe = may_send(req, self.settings, now) and (
+            req.ran_at is None or cls.effect is api.Effect.SAFE or cls.group is api.Group.ALL)
+        req.customer.refused += req.request.units * (not req.charged)
+        self.quotas.refund(req, now)
+        after = min(self.settings.max_advice, wait) if self.settings.may_advise else 0.0
+        self.actions.append(api.Refuse(req.request.request, after) if safe else api.Fail(req.request.request))
+        self.requests.close(req.request.request)
--- a/fennelpoint/regulation.py
+++ b/fennelpoint/regulation.py
@@ -1,133 +1,133 @@
-"""Customers in four regions, cuts while one fails, and room given back (the paper's section 4)."""
+"""Overload regulation by rate caps: cuts while a customer fails, returns after (the paper's section 4)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from fennelpoint.bookkeeping import FORGET, PERIOD, PERIOD_TOKEN, Concern, Ground
-from fennelpoint.state import Customer, Cut, Try
+from fennelpoint.bookkeeping import FORGET_AFTER_S, PERIOD_S, PERIOD_TOKEN, Context, Policy
+from fennelpoint.state import Customer, Cut, PendingRequest
 
-STEPS, STEP = 3, 0.05   # m, and the share of the rate sent that one constant step takes off
-MOST_CUT, RETURN = 2.0, 2.0  # most steps taken off one customer at a time; steps given back: no idle room
-CONFIDENT, FULL_STEP, CHANGE = 2.0, 3.0, 2.0  # 1 / S_p (1 / aims) trusted; most steps it is worth; the 2x
-FIT_MEMORY, FIT_LEAST = 0.98, 2.0  # past's weight a period (about 25 s); points that a line must pass
-RATE_MEMORY, IDLE_RATE = 0.7, 0.05  # past's weight in averages, a period; units a second that count as none
-REGIONS = (("meet", "failed"), ("lucky", "exceeded"))  # within quota or over it; within aim or over it
+STEPS, STEP = 3, 0.05   # the paper's m; part of the rate sent that a constant step takes off
+MOST_CUT, RETURN = 2.0, 2.0  # most steps off a customer at a time; steps returned: nothing idles
+CONFIDENT, FULL_STEP, CHANGE = 2.0, 3.0, 2.0  # trusted 1 / S_p (1 / aims); most steps it gives; the 2x
+FIT_MEMORY, FIT_LEAST = 0.98, 2.0  # weight of the past per period (about 25 s); points that a fit needs
+RATE_MEMORY, IDLE_RATE = 0.7, 0.05  # weight of the past in averages; units per second that count as idle
+REGIONS = (("meet", "failed"), ("lucky", "exceeded"))  # [over quota][over aim]
 
 
-class Fit:
-    """Running least squares of latency against rate sent, with forgetting."""
+class LatencyFit:
+    """Running least-squares fit of latency against the rate sent, with exponential forgetting."""
 
     def __init__(self) -> None:
         self.n = self.x = self.y = self.xx = self.xy = self.yy = 0.0
 
     def add(self, x: float, y: float, memory: float) -> None:
-        """One more point; `memory` is the weight of those before."""
+        """Add a point; `memory` is the weight of the earlier ones."""
         for name, value in (("n", 1.0), ("x", x), ("y", y), ("xx", x * x), ("xy", x * y), ("yy", y * y)):
             setattr(self, name, getattr(self, name) * memory + value)
 
-    def at(self, x: float) -> tuple[float, float]:
-        """The latency predicted there and its 1 / S_p (paper 4.4); 0 for too few or equal points."""
+    def predict(self, x: float) -> tuple[float, float]:
+        """Predicted latency at rate `x` and its 1 / S_p (paper 4.4), 0 for too few or equal points."""
         n = max(self.n, 1e-9)
         mean, spread = self.x / n, self.xx - self.x * self.x / n
         slope = (self.xy - self.y * mean) / spread if spread > 1e-9 else 0.0
-        residue = max(1e-9, self.yy - self.y * self.y / n - slope * slope * spread)
+        residual = max(1e-9, self.yy - self.y * self.y / n - slope * slope * spread)
         if n <= FIT_LEAST or spread <= 1e-9:
             return self.y / n + slope * (x - mean), 0.0
-        error = residue / (n - 2.0) * (1.0 + 1.0 / n + (x - mean) ** 2 / spread)
+        error = residual / (n - 2.0) * (1.0 + 1.0 / n + (x - mean) ** 2 / spread)
         return self.y / n + slope * (x - mean), error ** -0.5
 
 
-class Regulation(Concern):
-    """Who is cut, by how much, and why; one decision holds for some steps."""
+class Regulation(Policy):
+    """Decides whose rate is capped, and by how much; a decision holds for some steps."""
 
-    def __init__(self, ground: Ground, own_rate: Callable[[Customer, float], float]) -> None:
-        super().__init__(ground)
-        self.own_rate = own_rate    # units a second that are a customer's here
-        self.active: dict[int, Customer] = {}  # those that the period looks at
-        self.fit, self.work, self.period_at = Fit(), 0.0, ground.born
-        self.cut, self.pressed = None, False
+    def __init__(self, context: Context, local_rate: Callable[[Customer, float], float]) -> None:
+        super().__init__(context)
+        self.local_rate = local_rate    # a customer's quota here, in units per second
+        self.active: dict[int, Customer] = {}  # customers that the period considers
+        self.fit, self.work, self.period_at = LatencyFit(), 0.0, context.started_at
+        self.cut, self.is_overloaded = None, False
 
     def activate(self, c: Customer, now: float) -> None:
         self.active[c.key] = c
-        if PERIOD_TOKEN not in self.timers.at:
+        if PERIOD_TOKEN not in self.timers.due_at:
             self.period_at = now
-            self.out += self.timers.wake(PERIOD_TOKEN, now + PERIOD, now)
+            self.actions += self.timers.schedule(PERIOD_TOKEN, now + PERIOD_S, now)
 
-    def sent(self, c: Customer, units: float, work: float, now: float) -> None:
-        c.cap_level, c.sent, self.work = c.cap_level - units, c.sent + units, self.work + work
+    def record_sent(self, c: Customer, units: float, work: float, now: float) -> None:
+        c.cap_level, c.sent_units, self.work = c.cap_level - units, c.sent_units + units, self.work + work
         self.activate(c, now)
 
-    def answered(self, t: Try, now: float) -> None:
-        aim = self.settings.classes[t.ask.cls].aim
-        t.customer.ratios.append((now - (t.aim_at - aim)) / aim)
-        self.activate(t.customer, now)
+    def record_latency(self, req: PendingRequest, now: float) -> None:
+        aim = self.settings.classes[req.request.cls].aim
+        req.customer.ratios.append((now - (req.aim_at - aim)) / aim)
+        self.activate(req.customer, now)
 
-    def period(self, now: float, busy: bool) -> None:
-        """The period's look at all that are active; the next one comes while any is, or an attempt is out."""
+    def run_period(self, now: float, busy: bool) -> None:
+        """Regulate the active customers; schedules the next period while any is active or attempts run."""
         span, self.period_at = max(1e-6, now - self.period_at), now
         self.regulate(now, span)
-        for c in [c for c in self.active.values() if c.cap is not None and c.seen < now - FORGET]:
-            c.cap = None    # guards the memory: one that is cut is not forgotten, and this one is gone
+        for c in [c for c in self.active.values() if c.cap is not None and c.seen_at < now - FORGET_AFTER_S]:
+            c.cap = None    # a capped customer is never evicted, and this one has left
         self.active = {k: c for k, c in self.active.items() if c.cap is not None or c.rate > IDLE_RATE}
         if self.active or busy:
-            self.out += self.timers.wake(PERIOD_TOKEN, now + PERIOD, now)
+            self.actions += self.timers.schedule(PERIOD_TOKEN, now + PERIOD_S, now)
 
     def regulate(self, now: float, span: float) -> None:
-        """Place the customers, take a step of the cut while one fails, else give room back."""
+        """Sort the customers into regions; cut one step while one of them fails, else raise the caps."""
         rate, self.work, ratios = self.work / span, 0.0, []
         regions: dict[str, list[Customer]] = {name: [] for pair in REGIONS for name in pair}
         for c in sorted(self.active.values(), key=lambda c: (c.worth, c.key)):
             if c.ratios:
                 c.ratio = RATE_MEMORY * c.ratio + (1 - RATE_MEMORY) * sum(c.ratios) / len(c.ratios)
-            c.rate = RATE_MEMORY * c.rate + (1 - RATE_MEMORY) * c.sent / span
-            if c.ratios or c.sent:
-                over = c.rate > self.own_rate(c, now) + 1e-9
+            c.rate = RATE_MEMORY * c.rate + (1 - RATE_MEMORY) * c.sent_units / span
+            if c.ratios or c.sent_units:
+                over = c.rate > self.local_rate(c, now) + 1e-9
                 regions[REGIONS[over][c.ratio > 1.0]].append(c)
             ratios += c.ratios
-            c.ratios, c.sent = [], 0.0
-        seen = sum(ratios) / len(ratios) if ratios else 0.0
-        # Steps scale with the confidence in the fit when it is high enough; else they are constant.
-        step = STEP * min(FULL_STEP, max(1.0, self.fit.at(rate)[1] / CONFIDENT))
+            c.ratios, c.sent_units = [], 0.0
+        latency = sum(ratios) / len(ratios) if ratios else 0.0
+        # Steps scale with the confidence in the fit where that is high enough, else they are constant.
+        step = STEP * min(FULL_STEP, max(1.0, self.fit.predict(rate)[1] / CONFIDENT))
         worst = max((c.ratio for c in regions["failed"]), default=0.0)
-        self.pressed = bool(regions["failed"])
-        if not self.pressed:
+        self.is_overloaded = bool(regions["failed"])
+        if not self.is_overloaded:
             self.cut = None
-            self._return(step, now)
-        elif self.cut is None or (self.cut.steps + 1 >= STEPS and self.afresh(regions, worst, seen)):
+            self._raise_caps(step, now)
+        elif self.cut is None or (self.cut.steps + 1 >= STEPS and self.is_outdated(regions, worst, latency)):
             self.cut = self._decide(regions, worst, rate, step)
         else:
             self.cut.steps += 1
         for c, amount in self.cut.takes if self.cut else ():
             c.cap = max(0.0, (c.rate if c.cap is None else min(c.cap, c.rate)) - amount)
-        self.fit.add(rate, seen, FIT_MEMORY) if ratios else None
+        self.fit.add(rate, latency, FIT_MEMORY) if ratios else None
 
-    def afresh(self, regions: dict[str, list[Customer]], worst: float, seen: float) -> bool:
-        """The paper's four reasons to leave a decision after m steps."""
+    def is_outdated(self, regions: dict[str, list[Customer]], worst: float, latency: float) -> bool:
+        """Whether one of the paper's four reasons to replace a decision after m steps holds."""
         cut, active = self.cut, [c for group in regions.values() for c in group]
-        changes = [(c.rate, cut.rates[c.key]) for c in active if c.key in cut.rates] + [(seen, cut.predicted)]
+        both = [(c.rate, cut.rates[c.key]) for c in active if c.key in cut.rates] + [(latency, cut.predicted)]
         return (worst > cut.worst or any(c.key not in cut.lucky for c in regions["lucky"])
-                or any(not 1 / CHANGE <= (a + 0.01) / (b + 0.01) <= CHANGE for a, b in changes))
+                or any(not 1 / CHANGE <= (a + 0.01) / (b + 0.01) <= CHANGE for a, b in both))
 
     def _decide(self, regions: dict[str, list[Customer]], worst: float, rate: float, step: float) -> Cut:
-        """Whom to cut: lucky, then exceeded, then meet while several plans fail; the least worth first."""
-        missing, takes = step * sum(c.rate for c in self.active.values()), []
-        several = len({c.plan for c in regions["failed"]}) > 1
-        for c in regions["lucky"] + regions["exceeded"] + (regions["meet"] if several else []):
-            take = min(missing, MOST_CUT * step * c.rate)
-            missing -= take
+        """Cut `lucky`, then `exceeded`, then `meet` if several plans fail; in each the least worth first."""
+        to_cut, takes = step * sum(c.rate for c in self.active.values()), []
+        many_plans_fail = len({c.plan for c in regions["failed"]}) > 1
+        for c in regions["lucky"] + regions["exceeded"] + (regions["meet"] if many_plans_fail else []):
+            take = min(to_cut, MOST_CUT * step * c.rate)
+            to_cut -= take
             takes.append((c, take))
-            if missing <= 0.0:
+            if to_cut <= 0.0:
                 break
         return Cut(takes, worst, {c.key: c.rate for c in self.active.values()},
-                   {c.key for c in regions["lucky"]}, self.fit.at(rate * (1.0 - step))[0])
+                   {c.key for c in regions["lucky"]}, self.fit.predict(rate * (1.0 - step))[0])
 
-    def _return(self, step: float, now: float) -> None:
-        """Give unused room back by worth; no rate falls below its average."""
+    def _raise_caps(self, step: float, now: float) -> None:
+        """Return unused capacity by worth; no cap falls below the customer's average rate."""
         cut = [c for c in self.active.values() if c.cap is not None]
-        room = RETURN * step * sum(self.own_rate(c, now) for c in cut)
+        capacity = RETURN * step * sum(self.local_rate(c, now) for c in cut)
         for c in sorted(cut, key=lambda c: (-c.worth, c.key)):
-            rate = self.own_rate(c, now)
-            give = min(room, MOST_CUT * RETURN * step * rate)
-            c.cap, room = max(c.cap, c.rate) + give, room - give
+            rate = self.local_rate(c, now)
+            returned = min(capacity, MOST_CUT * RETURN * step * rate)
+            c.cap, capacity = max(c.cap, c.rate) + returned, capacity - returned
             c.cap = c.cap if c.cap < rate else None
--- a/fennelpoint/selection.py
+++ b/fennelpoint/selection.py
@@ -1,166 +1,169 @@
-"""Which backend takes a try, how crowded backends are, and what their answers tell; no quota, no held try."""
+"""Choice of a backend, the concurrency limit, and what responses and load reports say about the backends."""
 
 from __future__ import annotations
 
 from math import inf
 
 from fennelpoint import interface as api
-from fennelpoint.bookkeeping import LEARN, PERIOD, PUMP, Concern, Fleet, Ground, allowed, same_group
-from fennelpoint.slow_start import cold_odds, cold_share
-from fennelpoint.state import Backend, Crowd, Try
-
-LATE_MARGIN = 3.0   # usual latencies between release and aim
-FIRST_GUESS, FASTER, SLOWER = 0.12, 0.1, 0.03   # of the aim: a first latency; an answer's weights
-FAILED, SLOWEST, SLOW_HALF = 4.0, 6.0, 1.0  # a failure looks so much slower, at most; s to fade by half
-REST_MOST, TARGET = 3.0, 0.25  # s, longest rest after failures; of the aim, used behind: the rest to wait in
-EVIDENCE, STUCK = 8, 1.0    # answers between two cuts of the window; aims after which an attempt is stuck
-FIRST_OUT, WINDOW_CUT, LEAST_OUT = 12.0, 0.85, 0.1  # own attempts out: a backend at first, of all; cut; least
-NEAR_TIE, CANDIDATES = 1.15, 16  # how much better another zone must be; an own part of a large fleet
-PROBES, PROBE_WAIT = 2, 0.05  # backends probed for a try by those who see little, and s that it waits
-PROBE_WORTH = 0.02  # of the result: what one probe a try brings at most; a dearer one is left
-REPORT_HALF = 1.0   # s for a report to count half
-PAUSE_FULL = 0.03   # s of rest of one that is full
-
-
-class Selection(Concern):
-    """The backends of one ingress."""
-
-    def __init__(self, ground: Ground) -> None:
-        super().__init__(ground)
-        settings = ground.settings
-        self.blind = ground.blind   # to others' work
-        self.fleet, self.health = Fleet(), {}   # told of backends not listed yet
-        self.typical = [FIRST_GUESS * c.aim for c in settings.classes]  # latency of a class, uncrowded
-        self.usual = list(self.typical)  # and as it is now
-        self.crowd = Crowd(ground.born, ground.born)    # of all backends
-        self.cells: dict[str, Crowd] = {}   # by name; none: there are no cells
-        self.usual_held = 0.0   # requests a backend reports
-        self.probes = (settings.may_probe and settings.report_via != "none" and self.blind > 0.5
-                       and settings.probe_price <= PROBE_WORTH)
-
-    def roster(self, roster: api.Roster, now: float) -> None:
+from fennelpoint.bookkeeping import CHECK_S, EWMA, PERIOD_S, Context, Fleet, Policy, may_send, same_group
+from fennelpoint.slow_start import capacity_share, cold_pick_probability
+from fennelpoint.state import Backend, ConcurrencyLimiter, PendingRequest
+
+AIM_MARGIN = 3.0   # usual latencies that must be left before the aim when a request is sent
+INITIAL_LATENCY_AIMS, FASTER_WEIGHT, SLOWER_WEIGHT = 0.12, 0.1, 0.03    # weights: faster, slower response
+FAILURE_FACTOR, MAX_SLOWNESS, SLOWNESS_HALF_LIFE_S = 4.0, 6.0, 1.0  # a failure multiplies slowness
+MAX_REST_S, MAX_PRESSURE = 3.0, 0.25  # longest rest after failures; part of the aim lost to queueing
+MIN_EVIDENCE, STUCK_AIMS = 8, 1.0    # responses between two window cuts; aims after which an attempt is stuck
+FIRST_OUT, WINDOW_CUT, MIN_WINDOW = 12.0, 0.85, 0.1  # attempts: first, per backend; least, in all
+OTHER_ZONE_FACTOR, SUBSET_SIZE = 1.15, 16  # cost of leaving the zone; backends used of a large fleet
+PROBES_PER_REQUEST, PROBE_WAIT_S = 2, 0.05  # only where own load says little about backends
+MAX_PROBE_PRICE = 0.02  # most that one probe per request gains, of the result; dearer ones are not sent
+REPORT_HALF_LIFE_S = 1.0
+FULL_PAUSE_S = 0.03   # rest of a backend that was full
+
+
+class Selection(Policy):
+    """Chooses among the backends of one ingress and limits the attempts in flight."""
+
+    def __init__(self, context: Context) -> None:
+        super().__init__(context)
+        settings = context.settings
+        self.peer_uncertainty = context.peer_uncertainty   # load by others is unseen
+        self.fleet, self.health = Fleet(), {}   # handed-over health of backends not listed yet
+        self.typical = [INITIAL_LATENCY_AIMS * c.aim for c in settings.classes]  # latencies without queueing
+        self.usual = list(self.typical)  # recent latencies
+        self.limiter = ConcurrencyLimiter(context.started_at, context.started_at)    # of all backends
+        self.cells: dict[str, ConcurrencyLimiter] = {}   # by name; empty without cells
+        self.usual_held = 0.0   # requests that a backend usually reports
+        self.probes = (settings.may_probe and settings.report_via != "none" and self.peer_uncertainty > 0.5
+                       and settings.probe_price <= MAX_PROBE_PRICE)
+
+    def update_roster(self, roster: api.Roster, now: float) -> None:
         if roster.kind is api.RosterKind.FAILED:
-            return self.out.append(api.Subscribe())
-        self.fleet.follow(roster, self.random, now)
-        self.first_windows()
-        for b in self.fleet.known.values() if self.health else ():
-            b.recall(self.health.pop(b.entry.backend, None), now)
-
-    def first_windows(self) -> None:
-        for crowd in (self.crowd, *self.cells.values()):
-            crowd.ready = None
-            if not crowd.window and (size := len(self.ready(crowd))):
-                crowd.window = max(1.0, FIRST_OUT * size / self.settings.ingresses / self.ground.parts)
-
-    def ready(self, crowd: Crowd) -> list[Backend]:
-        """The backends of a cell that something may be sent to, in our order."""
-        if crowd.ready is None:
-            every, members = self.fleet.ready, crowd.members
-            crowd.ready = every if members is None else [b for b in every if b.entry.backend in members]
-        return crowd.ready
-
-    def route(self, t: Try, now: float) -> bool:
-        return True     # where backends are in cells, others may not serve it
-
-    def choose(self, t: Try, now: float) -> Backend | None:
-        """The backend with the least expected wait that may take this try; or some are `picked` first."""
-        cls, able = self.settings.classes[t.ask.cls], []
-        ready = self.ready(t.crowd) if allowed(t, self.settings, now) else []
-        if t.ran_at is not None and cls.effect is api.Effect.KEYED and cls.group is not api.Group.ALL:
-            ready = same_group(ready, t.ran_on, "zone" if cls.group is api.Group.ZONE else "cell")
-        for pool in (t.picked or (), ready[:CANDIDATES], ready):  # our part of the fleet: few connections
-            able = able or [b for b in pool if b.usable and now >= b.rest_until]
-        lots = sorted((self.random.expovariate(max(b.entry.weight, 1e-3)), i) for i, b in enumerate(able))
-        # Guards against pushing over cold backends, as a sum over all ingresses: a cold one is sent a try
-        # only by a draw by weight, won as seldom as it is cold, and once in half an aim for each try.
-        first = able[lots[0][1]].entry if lots and now >= t.draw_at else None
-        if first is not None and (share := cold_share(first, self.settings, now)) < 1.0:
-            t.draw_at = now + cls.aim / 2
-            if self.random.random() < cold_odds(share):
-                return able[lots[0][1]]
-        costs = sorted((self.cost(able[i], lot, t, now), i) for lot, i in lots
-                       if cold_share(able[i].entry, self.settings, now) >= 1.0)
-        if not self.probes or t.picked is not None or not costs:
+            return self.actions.append(api.Subscribe())
+        self.fleet.apply_roster(roster, self.random, now)
+        self.init_windows()
+        for b in self.fleet.backends.values() if self.health else ():
+            b.restore_health(self.health.pop(b.entry.backend, None), now)
+
+    def init_windows(self) -> None:
+        for limiter in (self.limiter, *self.cells.values()):
+            limiter.ready = None
+            if not limiter.window and (size := len(self.ready(limiter))):
+                limiter.window = max(1.0, FIRST_OUT * size / self.settings.ingresses / self.context.processes)
+
+    def ready(self, limiter: ConcurrencyLimiter) -> list[Backend]:
+        """The ready backends of a cell, in the order of this ingress."""
+        if limiter.ready is None:
+            every, members = self.fleet.ready, limiter.members
+            limiter.ready = every if members is None else [b for b in every if b.entry.backend in members]
+        return limiter.ready
+
+    def route(self, req: PendingRequest, now: float) -> bool:
+        return True     # a subclass with cells checks that the request's cell can serve it
+
+    def choose(self, req: PendingRequest, now: float) -> Backend | None:
+        """Return the eligible backend with the least expected wait; or None, perhaps after probing some."""
+        cls, able = self.settings.classes[req.request.cls], []
+        ready = self.ready(req.limiter) if may_send(req, self.settings, now) else []
+        if req.ran_at is not None and cls.effect is api.Effect.KEYED and cls.group is not api.Group.ALL:
+            ready = same_group(ready, req.ran_on, "zone" if cls.group is api.Group.ZONE else "cell")
+        for pool in (req.probed or (), ready[:SUBSET_SIZE], ready):  # a subset first: few connections
+            able = able or [b for b in pool if b.is_usable and now >= b.rest_until]
+        draws = sorted((self.random.expovariate(max(b.entry.weight, 1e-3)), i) for i, b in enumerate(able))
+        # Keeps all ingresses together from overloading cold backends: one gets a request only if a weighted
+        # draw picks it, with a probability that grows as it warms up; one draw per half aim and request.
+        first = able[draws[0][1]].entry if draws and now >= req.cold_draw_at else None
+        if first is not None and (share := capacity_share(first, self.settings, now)) < 1.0:
+            req.cold_draw_at = now + cls.aim / 2
+            if self.random.random() < cold_pick_probability(share):
+                return able[draws[0][1]]
+        costs = sorted((self.cost(able[i], draw, req, now), i) for draw, i in draws
+                       if capacity_share(able[i].entry, self.settings, now) >= 1.0)
+        if not self.probes or req.probed is not None or not costs:
             return able[costs[0][1]] if costs else None
-        t.picked, t.not_before = [able[i] for _, i in costs[:PROBES]], now + PROBE_WAIT
-        for b in t.picked:
-            self.fleet.probing.setdefault(b.entry.backend, []).append(t)
-            self.out.append(api.Probe(b.entry.backend))
+        req.probed, req.not_before = [able[i] for _, i in costs[:PROBES_PER_REQUEST]], now + PROBE_WAIT_S
+        for b in req.probed:
+            self.fleet.probing.setdefault(b.entry.backend, []).append(req)
+            self.actions.append(api.Probe(b.entry.backend))
         return None
 
-    def cost(self, b: Backend, lot: float, t: Try, now: float) -> float:
-        """The work before a new try at this backend, by what is known, over what it can do."""
-        weight, work, held = max(b.entry.weight, 1e-3), self.typical[t.ask.cls], self.usual_held
-        held += (b.reported - held) * 0.5 ** ((now - b.reported_at) / REPORT_HALF)
-        luck = 1.0 if t.picked else 1.0 + self.blind * (lot * weight - 1.0)
-        luck *= NEAR_TIE if b.entry.zone != self.settings.zone else 1.0
-        return luck * self.slowness(b, now) * (b.load + work * (1.0 + held)) / weight
+    def cost(self, b: Backend, draw: float, req: PendingRequest, now: float) -> float:
+        """Expected wait at this backend: known load times slowness over weight, with noise and zone cost."""
+        weight, work, held = max(b.entry.weight, 1e-3), self.typical[req.request.cls], self.usual_held
+        held += (b.reported - held) * 0.5 ** ((now - b.reported_at) / REPORT_HALF_LIFE_S)
+        noise = 1.0 if req.probed else 1.0 + self.peer_uncertainty * (draw * weight - 1.0)
+        noise *= OTHER_ZONE_FACTOR if b.entry.zone != self.settings.zone else 1.0
+        return noise * self.slowness(b, now) * (b.load + work * (1.0 + held)) / weight
 
     def slowness(self, b: Backend, now: float) -> float:
-        return 1.0 + (b.slow - 1.0) * 0.5 ** ((now - b.slow_at) / SLOW_HALF)
-
-    def fail(self, b: Backend, now: float) -> None:
-        b.slow, b.slow_at = min(SLOWEST, max(1.0, self.slowness(b, now)) * FAILED), now
-
-    def probed(self, probe: api.ProbeResult, now: float) -> list[Try]:
-        """Take in a probe's answer; the tries that waited for it."""
-        if (b := self.fleet.known.get(probe.backend)) is not None:
-            self.report(b, probe.report, now) if probe.status is api.Status.OK else self.fail(b, now)
-        return self.fleet.probed(probe.backend)
-
-    def report(self, b: Backend, values: list[float], now: float) -> None:
-        """Take in a backend's own word on the requests it holds."""
-        told = {k: v for k, v in zip(self.settings.report_fields, values, strict=False) if 0.0 <= v < inf}
-        # Guards against flocking: util tells how busy the cores are, not how many wait; a report grows old.
-        held = max(told.get("inflight", 0.0), told.get("queue", 0.0), min(1.0, told.get("util", 0.0)))
-        self.usual_held += LEARN / 4 * (held - self.usual_held) if told else 0.0
-        # Where nothing is told: guards against reports that stop just from the busy ones.
-        b.reported, b.reported_at = held if told else max(b.reported, 2.0 * self.usual_held), now
-
-    def learn(self, b: Backend, o: api.Outcome, t: Try | None, sent: Try, now: float) -> None:
-        self.report(b, o.report, now) if o.report else None
-        if o.status is api.Status.FULL:
-            b.rest_until = now + 2 * PAUSE_FULL
-            # Guards against a stop of all for a few that were turned away: it takes most of them to cut.
-            self.press(sent.crowd, 2.0 * TARGET, max(self.usual), now)
-        elif o.status is api.Status.OK and t is not None and 0.0 <= o.latency < inf:
-            cls, slow, b.fails = t.ask.cls, self.slowness(b, now), 0
+        return 1.0 + (b.slow - 1.0) * 0.5 ** ((now - b.slow_at) / SLOWNESS_HALF_LIFE_S)
+
+    def penalize(self, b: Backend, now: float) -> None:
+        b.slow, b.slow_at = min(MAX_SLOWNESS, max(1.0, self.slowness(b, now)) * FAILURE_FACTOR), now
+
+    def finish_probe(self, probe: api.ProbeResult, now: float) -> list[PendingRequest]:
+        """Record a probe's result; returns the requests that waited for it."""
+        if (b := self.fleet.backends.get(probe.backend)) is not None:
+            self.add_report(b, probe.report, now) if probe.status is api.Status.OK else self.penalize(b, now)
+        return self.fleet.finish_probe(probe.backend)
+
+    def add_report(self, b: Backend, values: list[float], now: float) -> None:
+        """Record a backend's load report: the requests that it holds."""
+        fields = {k: v for k, v in zip(self.settings.report_fields, values, strict=False) if 0.0 <= v < inf}
+        # util is capped at 1: it tells how busy the cores are, not how many requests wait (avoids herding).
+        held = max(fields.get("inflight", 0.0), fields.get("queue", 0.0), min(1.0, fields.get("util", 0.0)))
+        self.usual_held += EWMA / 4 * (held - self.usual_held) if fields else 0.0
+        # An empty report counts as high load: busy backends are the first to stop reporting.
+        b.reported, b.reported_at = held if fields else max(b.reported, 2.0 * self.usual_held), now
+
+    def record_outcome(self, b: Backend, outcome: api.Outcome, req: PendingRequest | None,
+                       attempt_of: PendingRequest, now: float) -> None:
+        self.add_report(b, outcome.report, now) if outcome.report else None
+        if outcome.status is api.Status.FULL:
+            b.rest_until = now + 2 * FULL_PAUSE_S
+            # Weighted so that only rejections by most backends cut the window, not those by a few.
+            self.adjust_window(attempt_of.limiter, 2.0 * MAX_PRESSURE, max(self.usual), now)
+        elif outcome.status is api.Status.OK and req is not None and 0.0 <= outcome.latency < inf:
+            cls, slow, b.fails = req.request.cls, self.slowness(b, now), 0
             aim = self.settings.classes[cls].aim
-            gap = o.latency - self.typical[cls]
-            if cold_share(b.entry, self.settings, now) >= 1.0:
-                self.typical[cls] += gap * (SLOWER if gap > 0 else FASTER)
-            self.usual[cls] += LEARN * (min(o.latency, aim / 2 / LATE_MARGIN) - self.usual[cls])
-            b.slow, b.slow_at = slow + LEARN * (o.latency / self.typical[cls] - slow), now
-            self.press(sent.crowd, o.latency / aim - min(TARGET, self.typical[cls] / aim), o.latency, now)
-        elif o.status is api.Status.CANCELLED:
-            # Guards against a slow backend that looks idle, as clients leave before it answers.
-            least, slow = o.latency / self.typical[sent.ask.cls], self.slowness(b, now)
-            b.slow, b.slow_at = max(slow, slow + LEARN * (least - slow)), now
-        elif o.status not in (api.Status.OK, api.Status.MOOT):
-            # Guards against blaming one event, as a break of all connections, for each attempt it ended.
-            if now - o.latency >= b.failed_at:
-                self.fail(b, now)
-                b.fails, b.rest_until = b.fails + 1, now + min(REST_MOST, 2 * PUMP * 2.0 ** b.fails)
+            gap = outcome.latency - self.typical[cls]
+            if capacity_share(b.entry, self.settings, now) >= 1.0:
+                self.typical[cls] += gap * (SLOWER_WEIGHT if gap > 0 else FASTER_WEIGHT)
+            self.usual[cls] += EWMA * (min(outcome.latency, aim / 2 / AIM_MARGIN) - self.usual[cls])
+            b.slow, b.slow_at = slow + EWMA * (outcome.latency / self.typical[cls] - slow), now
+            self.adjust_window(attempt_of.limiter, outcome.latency / aim
+                               - min(MAX_PRESSURE, self.typical[cls] / aim), outcome.latency, now)
+        elif outcome.status is api.Status.CANCELLED:
+            # A slow backend must not look idle because clients leave before it responds.
+            least, slow = outcome.latency / self.typical[attempt_of.request.cls], self.slowness(b, now)
+            b.slow, b.slow_at = max(slow, slow + EWMA * (least - slow)), now
+        elif outcome.status not in (api.Status.OK, api.Status.MOOT):
+            # One event that ends many attempts, as a loss of all connections, counts as one failure.
+            if now - outcome.latency >= b.failed_at:
+                self.penalize(b, now)
+                b.fails, b.rest_until = b.fails + 1, now + min(MAX_REST_S, 2 * CHECK_S * 2.0 ** b.fails)
                 b.failed_at = now
 
-    def press(self, crowd: Crowd, ratio: float, latency: float, now: float) -> None:
-        """More attempts may be out while little of the aim is lost to crowding; under one, we rest."""
-        # Counts what comes very late as one aim: guards against a few stalled backends that stop us all.
-        # Guards an ingress with few answers, which is cut by chance sooner than those grow it again.
-        crowd.pressure += LEARN * (min(1.0, ratio) - crowd.pressure)
-        crowd.evidence += 1
-        if crowd.pressure <= TARGET and crowd.out + 1 >= crowd.window:
-            crowd.window += min(crowd.window, 1.0 / crowd.window)
-        elif crowd.pressure > TARGET and now - crowd.cut_at > latency and crowd.evidence >= EVIDENCE:
-            crowd.window, crowd.cut_at, crowd.evidence = max(LEAST_OUT, crowd.window * WINDOW_CUT), now, 0
-        crowd.rest_until = now + min(REST_MOST, latency * max(0.0, 1.0 / crowd.window - 1.0))
-
-    def age(self, now: float) -> None:
-        """Guards against a back end that slows or stalls: its answers tell only once they come."""
-        by_crowd = self.fleet.ages(now)
-        for crowd in (self.crowd, *self.cells.values()):
-            ages = sorted(by_crowd.get(crowd, ()))
-            crowd.stuck = sum(age > STUCK for age in ages)
-            if ages and (age := ages[len(ages) // 2]) > max(TARGET, crowd.pressure):
-                crowd.evidence += len(ages)
-                self.press(crowd, age, PERIOD, now)
+    def adjust_window(self, limiter: ConcurrencyLimiter, ratio: float, latency: float, now: float) -> None:
+        """Grow the window while little of the aim is lost to queueing, else cut it; under 1, pause."""
+        # A few stalled backends must not stop the ingress (ratio capped), nor chance in few responses cut it.
+        limiter.pressure += EWMA * (min(1.0, ratio) - limiter.pressure)
+        limiter.evidence += 1
+        if limiter.pressure <= MAX_PRESSURE and limiter.in_flight + 1 >= limiter.window:
+            limiter.window += min(limiter.window, 1.0 / limiter.window)
+        elif (limiter.pressure > MAX_PRESSURE and now - limiter.cut_at > latency
+              and limiter.evidence >= MIN_EVIDENCE):
+            limiter.window, limiter.cut_at, limiter.evidence = (
+                max(MIN_WINDOW, limiter.window * WINDOW_CUT), now, 0)
+        limiter.rest_until = now + min(MAX_REST_S, latency * max(0.0, 1.0 / limiter.window - 1.0))
+
+    def check_attempt_ages(self, now: float) -> None:
+        """Adjust the windows by the age of attempts in flight, as stalled backends send no responses."""
+        by_limiter = self.fleet.attempt_ages(now)
+        for limiter in (self.limiter, *self.cells.values()):
+            ages = sorted(by_limiter.get(limiter, ()))
+            limiter.stuck = sum(age > STUCK_AIMS for age in ages)
+            if ages and (age := ages[len(ages) // 2]) > max(MAX_PRESSURE, limiter.pressure):
+                limiter.evidence += len(ages)
+                self.adjust_window(limiter, age, PERIOD_S, now)
--- a/fennelpoint/slow_start.py
+++ b/fennelpoint/slow_start.py
@@ -1,20 +1,20 @@
-"""Cold backends, by one arithmetic for the Controller and for the control service."""
+"""Slow start of cold backends; the controller and the xDS control service use the same formulas."""
 
 from __future__ import annotations
 
 from fennelpoint import interface as api
 
-COLD_CAUTION, PROXY_CAUTION = 1.0, 1.5  # power of a cold share that wins a draw; where nothing holds back
+COLD_CAUTION, PROXY_CAUTION = 1.0, 1.5  # exponents of a cold share; proxies have no other limit
 
 
-def cold_share(entry: api.BackendEntry, settings: api.Settings, now: float) -> float:
-    """The least part of its capacity that a backend can do by now; 1 when it is warm."""
+def capacity_share(entry: api.BackendEntry, settings: api.Settings, now: float) -> float:
+    """Least part of its capacity that a backend has by now; 1 once it is warm."""
     span = max(settings.ramp_time, settings.tick)
-    if entry.started_at <= 0.0 or now - entry.started_at >= span:   # the usual one: asked for each candidate
+    if entry.started_at <= 0.0 or now - entry.started_at >= span:   # fast path: runs for each candidate
         return 1.0
     return settings.cold_share + (1.0 - settings.cold_share) * max(0.0, now - entry.started_at) / span
 
 
-def cold_odds(share: float, caution: float = COLD_CAUTION) -> float:
-    """How often a backend of this share is sent work that is its by weight: as seldom as it is cold."""
+def cold_pick_probability(share: float, caution: float = COLD_CAUTION) -> float:
+    """Probability that a cold backend gets a request that its weight would give it."""
     return share ** caution
--- a/fennelpoint/system/proxy/controller.py
+++ b/fennelpoint/system/proxy/controller.py
@@ -11,9 +11,9 @@
 from math import inf
 
 from fennelpoint import interface as api
-from fennelpoint.bookkeeping import allowed
+from fennelpoint.bookkeeping import may_send
 from fennelpoint.cells.cell_controller import CelledController
-from fennelpoint.state import Try
+from fennelpoint.state import PendingRequest
 from fennelpoint.system.proxy.events import (
     BackendPlaces,
     Catalogue,
@@ -31,7 +31,7 @@
 class Decider(CelledController):
     """The decisions of one front."""
 
-    QUOTAS, SELECTION, WAITING = LeasedQuotas, NearestBackend, BriefWaiting
+    QUOTAS, SELECTION, WAIT_QUEUE = LeasedQuotas, NearestBackend, BriefWaiting
     BUDGET = RetryBudget  # of each service
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
@@ -40,7 +40,7 @@
         self.budgets: dict[str, RetryBudget] = {}  # of retries, by service
         self.slack = 0.0  # this proxy's share of the retry rule's slack
         self.leased_until = inf  # when the shares end
-        self.on |= {
+        self.handlers |= {
             Catalogue: self._catalogue,
             LeasedShares: self._leased,
             LeaseExtended: self._extended,
@@ -60,13 +60,13 @@
     def _catalogue(self, event: Catalogue, now: float) -> None:
         self.quotas.change(event.classes, event.plans, now)
         self.selection.learn_of(event.classes)
-        self.waiting.pump(now)
+        self.wait_queue.dispatch(now)
 
     def _leased(self, event: LeasedShares, now: float) -> None:
         self.leased_until = event.until
         self.quotas.lease(event.shares, event.pooled, now)
         self._share_slack(event.slack, now)
-        self.waiting.ask_again(now)
+        self.wait_queue.ask_again(now)
 
     def _extended(self, event: LeaseExtended, now: float) -> None:
         if self.leased_until < inf:  # else nothing is leased
@@ -88,50 +88,50 @@
 
     def _granted(self, event: UnitsGranted, now: float) -> None:
         for t in self.quotas.grant(event, now):
-            self.waiting.refuse(t, now, 0.0)
-        self.waiting.pump(now)
+            self.wait_queue.refuse(t, now, 0.0)
+        self.wait_queue.dispatch(now)
 
     def _placed(self, event: BackendPlaces, now: float) -> None:
         self.selection.take(event)
 
     def _admit(self, ask: api.Request, now: float) -> None:
         if self.barred:
-            return self.out.append(api.Refuse(ask.request, MOST_ADVICE))
+            return self.actions.append(api.Refuse(ask.request, MOST_ADVICE))
         super()._admit(ask, now)
 
     # Retries
 
     def _outcome(self, o: api.Outcome, now: float) -> None:
-        if o.wrote and (t := self.line.open.get(o.request)) is not None:
+        if o.wrote and (t := self.requests.open.get(o.request)) is not None:
             t.reached = True  # of a request cut off half way the backend may have counted the head
         super()._outcome(o, now)
 
-    def _place(self, t: Try, now: float) -> bool:
+    def _try_send(self, t: PendingRequest, now: float) -> bool:
         if t.attempts and not self._may_retry(t, now):
             return False
-        placed = super()._place(t, now)
+        placed = super()._try_send(t, now)
         if placed:
             budget = self._budget(t, now)
             if t.attempts == 1:
-                budget.earn(t.came_at, now)
-                self.waiting.order.add(self.waiting.level(t), True, now)
+                budget.earn(t.arrived_at, now)
+                self.wait_queue.order.add(self.wait_queue.level(t), True, now)
             elif t.reached:
                 budget.spend(now)
         return placed
 
-    def _budget(self, t: Try, now: float) -> RetryBudget:
-        service = t.ask.cell.partition("|")[0]
+    def _budget(self, t: PendingRequest, now: float) -> RetryBudget:
+        service = t.request.cell.partition("|")[0]
         if (budget := self.budgets.get(service)) is None:
             rule = self.retry_rule
             budget = self.budgets[service] = self.BUDGET(rule.ratio, rule.window, self.slack, now)
         return budget
 
-    def _may_retry(self, t: Try, now: float) -> bool:
+    def _may_retry(self, t: PendingRequest, now: float) -> bool:
         """Whether it may be sent to another backend: by the budget, if one may have received it."""
         return not t.reached or self._budget(t, now).allows(now)
 
-    def _again(self, t: Try, o: api.Outcome, now: float) -> bool:
-        t.avoid = o.backend
-        if t.attempts >= (t.ask.attempts or self.settings.max_attempts) or not self._may_retry(t, now):
+    def _retry(self, t: PendingRequest, o: api.Outcome, now: float) -> bool:
+        t.previous_backend = o.backend
+        if t.attempts >= (t.request.attempts or self.settings.max_attempts) or not self._may_retry(t, now):
             return False
-        return t.ran_at is None or allowed(t, self.settings, now)
+        return t.ran_at is None or may_send(t, self.settings, now)
--- a/fennelpoint/system/proxy/leased_quotas.py
+++ b/fennelpoint/system/proxy/leased_quotas.py
@@ -8,9 +8,9 @@
 from math import inf
 
 from fennelpoint import interface as api
-from fennelpoint.bookkeeping import Ground
-from fennelpoint.quotas import EVEN, Quotas
-from fennelpoint.state import Customer, Try
+from fennelpoint.bookkeeping import Context
+from fennelpoint.quotas import EVEN_ODDS, Quotas
+from fennelpoint.state import Customer, PendingRequest
 from fennelpoint.system.proxy.events import UnitsGranted
 
 FRESH = 1.0         # s of an own share that a process has saved up when it begins
@@ -21,12 +21,12 @@
 class LeasedQuotas(Quotas):
     """Quotas by the parts that the core lends: one that is not told is none."""
 
-    def __init__(self, ground: Ground) -> None:
-        super().__init__(ground)
+    def __init__(self, context: Context) -> None:
+        super().__init__(context)
         self.shares: dict[int, float] = {}
         self.leased = self.pools = False
         self.lent = False       # something is lent now
-        self.unlent_since = ground.born
+        self.unlent_since = context.started_at
         self.granted: dict[int, deque] = {}       # units of the pool, by customer: until when, and how many
         self.needed: dict[int, float] = {}      # tries that units were asked for, and when
         self.unanswered_since = inf     # when units were first asked for since the last answer
@@ -49,15 +49,15 @@
             held.popleft()
         return sum(units for _, units in held) if held else 0.0
 
-    def room(self, t: Try, now: float) -> bool:
+    def has_room(self, t: PendingRequest, now: float) -> bool:
         if not self.thin(t.customer):
-            return super().room(t, now)
-        return t.inside is None and self.pooled(t.customer.key, now) >= t.ask.units
+            return super().has_room(t, now)
+        return t.within_quota is None and self.pooled(t.customer.key, now) >= t.request.units
 
-    def take(self, t: Try, inside: bool, now: float) -> None:
-        super().take(t, inside, now)
-        self.needed.pop(t.ask.request, None)
-        left = t.ask.units if inside and self.thin(t.customer) else 0.0
+    def charge(self, t: PendingRequest, inside: bool, now: float) -> None:
+        super().charge(t, inside, now)
+        self.needed.pop(t.request.request, None)
+        left = t.request.units if inside and self.thin(t.customer) else 0.0
         held = self.granted.get(t.customer.key)
         while left > 0.0 and held:
             until, units = held.popleft()
@@ -65,28 +65,29 @@
                 held.appendleft((until, units - left))
             left -= units
 
-    def wait(self, t: Try, ahead: float, now: float) -> float:
-        return 0.0 if self.thin(t.customer) else super().wait(t, ahead, now)
+    def wait_s(self, t: PendingRequest, ahead: float, now: float) -> float:
+        return 0.0 if self.thin(t.customer) else super().wait_s(t, ahead, now)
 
-    def own_rate(self, c: Customer, now: float) -> float:
+    def local_rate(self, c: Customer, now: float) -> float:
         """Of one in the pool no front knows its part: it is over its quota where the pool has denied it lately."""
         if not self.thin(c):
-            return super().own_rate(c, now)
+            return super().local_rate(c, now)
         return 0.0 if now - self.denied_at.get(c.key, -inf) < DENIED else self.settings.plans[c.plan].rate
 
-    def over(self, t: Try) -> bool:
+    def over(self, t: PendingRequest) -> bool:
         """Whether it was refused because its tenant asks for more than its quota, as far as that is known."""
         if not self.lent:
             return False
         if self.thin(t.customer):
-            return t.inside is False
-        return not t.charged and self.settings.plans[t.customer.plan].rate > 0.0 and t.customer.level < t.ask.units
+            return t.within_quota is False
+        return (not t.charged and self.settings.plans[t.customer.plan].rate > 0.0
+                and t.customer.level < t.request.units)
 
-    def need(self, t: Try, now: float) -> bool:
+    def need(self, t: PendingRequest, now: float) -> bool:
         """Whether units are to be asked for it: once."""
-        if t.charged or t.ask.request in self.needed or not self.thin(t.customer):
+        if t.charged or t.request.request in self.needed or not self.thin(t.customer):
             return False
-        self.needed[t.ask.request] = now
+        self.needed[t.request.request] = now
         long_ago = now - self.unanswered_since > FORGET_NEED    # a draw that was lost
         self.unanswered_since = now if long_ago else min(self.unanswered_since, now)
         while self.needed and now - next(iter(self.needed.values())) > FORGET_NEED:
@@ -100,14 +101,15 @@
         silence = now - (self.unanswered_since if self.lent else self.unlent_since)
         return max(0.0, TAKEOVER - silence) if silence > SILENT or not self.lent else 0.0
 
-    def unanswered(self, now: float) -> list[Try]:
+    def unanswered(self, now: float) -> list[PendingRequest]:
         """Tries that still wait for units which nobody answered for: a new allocator has not heard of them."""
-        waiting = [t for t in self.line.held.values() if now - self.needed.get(t.ask.request, now) > SILENT]
+        waiting = [t for t in self.requests.waiting.values()
+                   if now - self.needed.get(t.request.request, now) > SILENT]
         for t in waiting:
-            del self.needed[t.ask.request]
+            del self.needed[t.request.request]
         return waiting
 
-    def grant(self, event: UnitsGranted, now: float) -> list[Try]:
+    def grant(self, event: UnitsGranted, now: float) -> list[PendingRequest]:
         """Units have come; the tries for which there are none, the cheapest and latest ones."""
         self.unanswered_since = inf
         for key, units in event.units.items():
@@ -116,11 +118,12 @@
         for key, units in event.denied.items():
             if key not in event.soon:
                 self.denied_at[key] = now
-            waiting = [t for t in self.line.held.values() if t.customer.key == key and t.ask.request in self.needed]
-            for t in sorted(waiting, key=lambda t: (t.worth, -t.ask.request)):
+            waiting = [t for t in self.requests.waiting.values()
+                       if t.customer.key == key and t.request.request in self.needed]
+            for t in sorted(waiting, key=lambda t: (t.worth, -t.request.request)):
                 if units <= 0.0:
                     break
-                units, t.inside = units - t.ask.units, False
+                units, t.within_quota = units - t.request.units, False
                 out.append(t)
         return out
 
@@ -131,12 +134,12 @@
         self.lent = bool(shares) or pools
         fresh = bool(shares) and not self.leased
         raised = {key for key, share in shares.items() if share > self.shares.get(key, 0.0)}
-        since = max(self.ground.born, now - FRESH) if fresh else now
+        since = max(self.context.started_at, now - FRESH) if fresh else now
         self.raised_at = {key: since if key in raised else self.raised_at[key] for key in shares}
         self.leased, self.shares, self.pools = self.leased or fresh, shares, pools
         for c in self.customers.values():
             if fresh:   # nobody else was lent our part while we started; a second of it at most
-                c.filled = since
+                c.filled_at = since
             else:
                 self.fill(c, now)
             c.share = shares.get(c.key, 0.0)
@@ -146,8 +149,8 @@
         """Other figures: what came in by now came by those before, and no store holds more than they allow."""
         for c in self.customers.values():
             self.fill(c, now)
-        self.ground.settings = replace(self.settings, classes=classes, plans=plans)
-        self.odds = [[EVEN] * len(classes) for _ in plans]
+        self.context.settings = replace(self.settings, classes=classes, plans=plans)
+        self.odds = [[EVEN_ODDS] * len(classes) for _ in plans]
         for c in self.customers.values():
             c.level = min(c.level, self.depth(c))
 
@@ -157,7 +160,7 @@
             # Guards the sum over a restart, and over shares that move: what others took by this share before is not
             # known, so it starts with what came in since it came here.
             since = self.raised_at.get(ask.customer, now)
-            c = Customer(ask.customer, ask.plan, 1.0, share, 0.0, store=plan.burst, filled=since,
+            c = Customer(ask.customer, ask.plan, 1.0, share, 0.0, store=plan.burst, filled_at=since,
                          total_at=now, count_at=inf)
-        self.customers[ask.customer], c.seen, c.plan = c, now, ask.plan
+        self.customers[ask.customer], c.seen_at, c.plan = c, now, ask.plan
         return c
--- a/fennelpoint/system/proxy/placement.py
+++ b/fennelpoint/system/proxy/placement.py
@@ -6,10 +6,10 @@
 from math import inf
 
 from fennelpoint import interface as api
-from fennelpoint.bookkeeping import Ground, allowed
+from fennelpoint.bookkeeping import Context, may_send
 from fennelpoint.cells.cell_controller import Confined
-from fennelpoint.selection import FIRST_GUESS
-from fennelpoint.state import Backend, Crowd, Try
+from fennelpoint.selection import INITIAL_LATENCY_AIMS
+from fennelpoint.state import Backend, ConcurrencyLimiter, PendingRequest
 from fennelpoint.system.proxy.events import BackendPlaces
 
 QUEUE = 1.0  # of a backend's slots, own attempts out beyond them
@@ -21,8 +21,8 @@
 class NearestBackend(Confined):
     """The least expected time till the answer, distance included, among backends with a slot."""
 
-    def __init__(self, ground: Ground) -> None:
-        super().__init__(ground)
+    def __init__(self, context: Context) -> None:
+        super().__init__(context)
         self.places = BackendPlaces({}, {}, {})
         self.sent_cold: dict[object, deque] = {}  # when tries were sent to a cold backend
 
@@ -37,26 +37,26 @@
     def learn_of(self, classes: list[api.RequestClass]) -> None:
         """Classes from now on; one that is new starts as all do."""
         for cls in classes[len(self.typical) :]:
-            self.typical.append(FIRST_GUESS * cls.aim)
-            self.usual.append(FIRST_GUESS * cls.aim)
+            self.typical.append(INITIAL_LATENCY_AIMS * cls.aim)
+            self.usual.append(INITIAL_LATENCY_AIMS * cls.aim)
 
-    def choose(self, t: Try, now: float) -> Backend | None:
-        if not allowed(t, self.settings, now):
+    def choose(self, t: PendingRequest, now: float) -> Backend | None:
+        if not may_send(t, self.settings, now):
             return None
         best, least = None, inf
-        typical = self.typical[t.ask.cls]
-        for b in self.ready(t.crowd):
+        typical = self.typical[t.request.cls]
+        for b in self.ready(t.limiter):
             key = b.entry.backend
-            if now < b.rest_until or t.avoid == key:
+            if now < b.rest_until or t.previous_backend == key:
                 continue
-            slots, out = self.places.slots.get(key, 1), len(b.out)
+            slots, out = self.places.slots.get(key, 1), len(b.in_flight)
             if out >= slots * (1.0 + QUEUE):
                 continue
             until, most = self.places.cold.get(key, (0.0, 0))
             slow = self.slowness(b, now)
             if now < until:
                 # The process before may have sent all that is ours of this second.
-                if now < self.ground.born + SECOND or self._sent_lately(key, now) >= most:
+                if now < self.context.started_at + SECOND or self._sent_lately(key, now) >= most:
                     continue
                 slow *= 1.5
             crowd = out * max(1.0, 0.5 * self.places.sharers) / slots
@@ -74,7 +74,7 @@
             sent.popleft()
         return len(sent)
 
-    def press(self, crowd: Crowd, ratio: float, latency: float, now: float) -> None:
-        super().press(crowd, ratio, latency, now)
+    def adjust_window(self, crowd: ConcurrencyLimiter, ratio: float, latency: float, now: float) -> None:
+        super().adjust_window(crowd, ratio, latency, now)
         crowd.window = max(WINDOW_LEAST, crowd.window)
         crowd.rest_until = min(crowd.rest_until, now)
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -288,9 +288,9 @@
         names = {key: holder.name for key, holder in enumerate(self.reader.holders)}
         cut = ", ".join(f"{names.get(c.key, 'public')} by {amount:.2f} a second" for c, amount in self.cut.takes)
         failing = ", ".join(names.get(c.key, "public") for c in regulation.active.values()
-                            if c.ratio > 1.0 and c.rate <= regulation.own_rate(c, self.host.clock()) + 1e-9)
+                            if c.ratio > 1.0 and c.rate <= regulation.local_rate(c, self.host.clock()) + 1e-9)
         say(Event.CUTS, node=self.settings.node_name, cut=cut or "nobody", failing=failing or "nobody",
-            confidence=f"{regulation.fit.at(regulation.work)[1]:.1f}")
+            confidence=f"{regulation.fit.predict(regulation.work)[1]:.1f}")
 
     def reload(self, settings: Settings) -> None:
         self.session.seeds = settings.seeds
--- a/fennelpoint/system/proxy/queue_timeout.py
+++ b/fennelpoint/system/proxy/queue_timeout.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from fennelpoint import interface as api
-from fennelpoint.bookkeeping import PUMP_TOKEN, Ground
-from fennelpoint.queueing import Waiting
-from fennelpoint.state import Try
+from fennelpoint.bookkeeping import CHECK_TOKEN, Context
+from fennelpoint.queueing import WaitQueue
+from fennelpoint.state import PendingRequest
 from fennelpoint.system.proxy.events import UnitsNeeded
 from fennelpoint.system.proxy.fair_queueing import FairOrder
 
@@ -15,37 +15,37 @@
 FIRST = 1e9  # times its worth, of a try that goes before all others
 
 
-class BriefWaiting(Waiting):
+class BriefWaiting(WaitQueue):
     """Tries that no backend was offered are ended early: their clients may come again elsewhere in time."""
 
-    def __init__(self, ground: Ground, *concerns: object) -> None:
-        super().__init__(ground, *concerns)
-        self.order = FairOrder(ground.born)
+    def __init__(self, context: Context, *concerns: object) -> None:
+        super().__init__(context, *concerns)
+        self.order = FairOrder(context.started_at)
 
-    def level(self, t: Try) -> float:
+    def level(self, t: PendingRequest) -> float:
         """The worth that it waits by among the others, unless it goes first."""
-        return self.settings.classes[t.ask.cls].worth * self.settings.plans[t.customer.plan].price
+        return self.settings.classes[t.request.cls].worth * self.settings.plans[t.customer.plan].price
 
-    def hold(self, t: Try, now: float) -> None:
+    def enqueue(self, t: PendingRequest, now: float) -> None:
         # Guards the lowest ranks: they would never be next while an overload lasts.
-        if t.ask.request not in self.line.held and self.order.starved(level := self.level(t), now):
+        if t.request.request not in self.requests.waiting and self.order.starved(level := self.level(t), now):
             t.worth = FIRST * level
-        super().hold(t, now)
+        super().enqueue(t, now)
         self._need(t, now)
-        if not t.reached and t.ask.request in self.line.held:
-            t.last = min(t.last, t.came_at + HELD_PART * self.settings.classes[t.ask.cls].aim)
-            self.out += self.timers.wake(PUMP_TOKEN, max(now, t.last), now)
+        if not t.reached and t.request.request in self.requests.waiting:
+            t.wait_until = min(t.wait_until, t.arrived_at + HELD_PART * self.settings.classes[t.request.cls].aim)
+            self.actions += self.timers.schedule(CHECK_TOKEN, max(now, t.wait_until), now)
 
     def ask_again(self, now: float) -> None:
         """Another one allocates by now: units for what still waits."""
         for t in self.quotas.unanswered(now):
             self._need(t, now)
 
-    def _need(self, t: Try, now: float) -> None:
+    def _need(self, t: PendingRequest, now: float) -> None:
         if self.quotas.need(t, now):
-            self.out.append(UnitsNeeded(t.customer.key, t.ask.units))
+            self.actions.append(UnitsNeeded(t.customer.key, t.request.units))
 
-    def refuse(self, t: Try, now: float, wait: float) -> None:
+    def refuse(self, t: PendingRequest, now: float, wait: float) -> None:
         self.quotas.fill(t.customer, now)
         over = self.quotas.over(t)
         if not (over or t.charged):
@@ -55,5 +55,5 @@
         # part or a backend a client does well to come again soon; while nobody allocates, once somebody does.
         advice = max(wait, OVER_ADVICE) if long else min(MOST_ADVICE, max(wait, ADVICE))
         super().refuse(t, now, max(advice, self.quotas.until_takeover(t.customer, now)))
-        if isinstance(last := self.out[-1], api.Refuse):
+        if isinstance(last := self.actions[-1], api.Refuse):
             last.over = over
--- a/fennelpoint/testing/ceilings.py
+++ b/fennelpoint/testing/ceilings.py
@@ -166,11 +166,11 @@
                 self._push(self.now + fault.length, self._back, node)
             case "upgrade" if len(there) == 1:
                 old = there[0]
-                told = handover.tell(old, 2)
-                self._give(node, old, api.Twins(2))
+                told = handover.snapshot(old, 2)
+                self._give(node, old, api.ProcessCount(2))
                 new = self._begin(node)
-                self._give(node, new, api.Twins(2))
-                self._give(node, new, api.Told(told))
+                self._give(node, new, api.ProcessCount(2))
+                self._give(node, new, api.PredecessorState(told))
                 self._push(self.now + fault.length, self._end_old, node, old, new)
             case "replaced":
                 self.backends = [f"b{self.number}.{i}" for i in range(60)]
@@ -192,10 +192,10 @@
         if self.nodes[node] != [old, new]:
             return
         self.nodes[node] = [new]
-        rest = handover.tell_rest(old)
-        self._give(node, new, api.Twins(1))
+        rest = handover.final_snapshot(old)
+        self._give(node, new, api.ProcessCount(1))
         if self.draw.random() < 0.7:    # else it was killed
-            self._give(node, new, api.Told(rest))
+            self._give(node, new, api.PredecessorState(rest))
 
     def _arrive(self, flow: Flow) -> None:
         self._push(self.now + self.draw.expovariate(flow.rate), self._arrive, flow)
--- a/fennelpoint/xds/resources.py
+++ b/fennelpoint/xds/resources.py
@@ -17,7 +17,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.routes.table import RouteTable
-from fennelpoint.slow_start import PROXY_CAUTION, cold_odds, cold_share
+from fennelpoint.slow_start import PROXY_CAUTION, capacity_share, cold_pick_probability
 from fennelpoint.xds.membership import Address
 from fennelpoint.xds.protobuf import packed, seconds
 from fennelpoint.xds.rate_limit_filters import Limits
@@ -86,7 +86,7 @@
     made = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
     zones: dict[str, endpoint_pb2.LocalityLbEndpoints] = {}
     for entry, (host, port) in ready:
-        share = cold_share(entry, settings, now)
+        share = capacity_share(entry, settings, now)
         zone = zone_name(entry, settings)
         own = max(1, round(WEIGHT * max(entry.weight, 1e-3)))
         if share >= 1.0:
@@ -99,7 +99,7 @@
             step = max(1, int(share * COLD_STEPS)) / COLD_STEPS     # downwards: never more than its share
             locality = made.endpoints.add()
             locality.locality.zone, locality.locality.sub_zone = zone, f"cold-{entry.backend}"
-            locality.load_balancing_weight.value = max(1, int(own * cold_odds(step, PROXY_CAUTION)))
+            locality.load_balancing_weight.value = max(1, int(own * cold_pick_probability(step, PROXY_CAUTION)))
         endpoint = locality.lb_endpoints.add()
         endpoint.endpoint.address.socket_address.address = host
         endpoint.endpoint.address.socket_address.port_value = port
--- a/tests/cells/test_cells_serving.py
+++ b/tests/cells/test_cells_serving.py
@@ -199,7 +199,7 @@
             crowd = made.ingress.host.controller.selection.cells["east"]
             crowd.window = 2
             tries = [asyncio.ensure_future(ask(made, of(EAST, "book", left=6000))) for _ in range(5)]
-            await until(lambda: len(made.ingress.host.controller.line.held) == 3)
+            await until(lambda: len(made.ingress.host.controller.requests.waiting) == 3)
             operator(tmp_path, version=2, east=())
             made.ingress.reload()
             await until(lambda: sum(t.done() for t in tries) == 3)
@@ -221,7 +221,7 @@
             new = Backend()
             address = await new.start()
             made.list.tell(member("s-1", nodes[1].address, "removed"), member("s-9", address))
-            await until(lambda: "s-9" in made.ingress.host.controller.fleet.known)
+            await until(lambda: "s-9" in made.ingress.host.controller.fleet.backends)
             for _ in range(6):
                 await ask(made, of(EAST))
             assert not new.seen     # no cell names it, and none takes a part of the rest
--- a/tests/cells/test_module.py
+++ b/tests/cells/test_module.py
@@ -29,7 +29,7 @@
 def lose(world: World, members: frozenset) -> None:
     """Every node of a cell fails the next attempts."""
     for name in members:
-        b = world.control.fleet.known[name]
+        b = world.control.fleet.backends[name]
         b.fails, b.rest_until = 3, world.now + 30.0
 
 
@@ -58,7 +58,7 @@
     world = made()
     for _ in range(200):
         ask(world, "east")
-    assert world.control.selection.cells["east"].out == round(world.control.selection.cells["east"].window)
+    assert world.control.selection.cells["east"].in_flight == round(world.control.selection.cells["east"].window)
     assert sent(ask(world, "west"))
 
 
@@ -81,7 +81,7 @@
     lose(world, EAST)
     west = world.control.selection.cells["west"]
     spilt = sum(bool(sent(ask(world, "east"))) for _ in range(50))
-    assert spilt == west.spilt == max(1, int(0.25 * west.window))
+    assert spilt == west.spilled_in == max(1, int(0.25 * west.window))
     own = sum(bool(sent(ask(world, "west"))) for _ in range(200))
     assert own + spilt >= int(west.window)      # the rest is the target's own
     assert not sent(ask(world, "east"))
@@ -111,7 +111,7 @@
     assert set(sent(ask(world, "east"))) <= WEST
     world.wait(31.0)
     for name in EAST:
-        world.control.fleet.known[name].fails = 0
+        world.control.fleet.backends[name].fails = 0
     assert set(sent(ask(world, "east"))) <= EAST
 
 
@@ -131,10 +131,10 @@
 
 def test_a_waiting_try_goes_with_its_agency_and_one_that_may_have_run_stays():
     world = made()
-    world.control.selection.cells["east"].window = world.control.selection.cells["east"].out = 1
+    world.control.selection.cells["east"].window = world.control.selection.cells["east"].in_flight = 1
     ask(world, "east", customer=9)      # waits: the cell is full
     waiting = world.ids
-    assert waiting in world.control.line.held
+    assert waiting in world.control.requests.waiting
     moved = world.give(api.Cells({"east": api.Cell(EAST), "west": api.Cell(WEST)}, {9: "west"}))
     (send,) = [a for a in moved if isinstance(a, api.Send)]
     assert send.request == waiting and send.backend in WEST
@@ -157,10 +157,10 @@
     def note(self, actions: list) -> None:
         for action in actions:
             if isinstance(action, api.Send):
-                t = self.world.control.line.open[action.request]
+                t = self.world.control.requests.open[action.request]
                 where = "east" if action.backend in EAST else "west"
-                assert where == t.ask.cell or (t.spills and (t.ask.cell, where) == ("east", "west"))
-                self.open[action.request] = (action.backend, t.ask.cell)
+                assert where == t.request.cell or (t.is_spilling and (t.request.cell, where) == ("east", "west"))
+                self.open[action.request] = (action.backend, t.request.cell)
 
     @rule(customer=st.integers(0, 3), cls=st.sampled_from([SAFE, UNSAFE]))
     def ask(self, customer: int, cls: int) -> None:
@@ -177,7 +177,7 @@
         if self.open:
             request = data.draw(st.sampled_from(sorted(self.open)))
             backend, _ = self.open.pop(request)
-            t = self.world.control.line.open.get(request)
+            t = self.world.control.requests.open.get(request)
             self.note(self.world.answer(request, backend, status, attempt=t.attempts - 1 if t else 0))
 
     @rule(names=st.sets(st.sampled_from(sorted(EAST | WEST))))
@@ -191,8 +191,8 @@
     @invariant()
     def spill_within_its_bound_and_sums_right(self) -> None:
         cells = self.world.control.selection.cells
-        assert cells["east"].spilt == 0 and cells["west"].spilt >= 0
-        assert sum(cell.out for cell in cells.values()) == self.world.control.fleet.out == len(self.open)
+        assert cells["east"].spilled_in == 0 and cells["west"].spilled_in >= 0
+        assert sum(cell.in_flight for cell in cells.values()) == self.world.control.fleet.in_flight == len(self.open)
 
 
 TestCells = Cells.TestCase
--- a/tests/cells/test_random_moves.py
+++ b/tests/cells/test_random_moves.py
@@ -189,5 +189,5 @@
     assert made.astray == []
     assert max(rule.nearness for rule in made.rules.values()) <= 1.0
     for ingress in made.ingresses:      # nothing is left open, and all know the newest plan they heard of
-        assert not ingress.moves.out and not ingress.decider.line.open
+        assert not ingress.moves.out and not ingress.decider.requests.open
         assert all(m.state.value == "planned" for m in ingress.moves.open.values())
--- a/tests/fleet/test_plan_parameters.py
+++ b/tests/fleet/test_plan_parameters.py
@@ -25,9 +25,9 @@
     plans = list(world.settings.plans)
     assert sent(world, 1, plan=HARD) == 1
     smaller = [replace(plan, rate=1.0, burst=2.0) if i == HARD else plan for i, plan in enumerate(plans)]
-    world.give(api.Figures(smaller, 1, True))
+    world.give(api.PlansChanged(smaller, 1, True))
     assert sent(world, 6, plan=HARD) <= 2
-    world.give(api.Figures(plans, 2, False))
+    world.give(api.PlansChanged(plans, 2, False))
     assert sent(world, 6, plan=HARD) == 0
     world.wait(1.0)
     assert 1 <= sent(world, 6, plan=HARD) <= 3     # rate 4 over two ingresses, for a second
@@ -40,10 +40,10 @@
     (before,) = {call.name for call in world.counts}
     world.count_replies(totals={})
     world.counts.clear()
-    world.give(api.Figures(list(world.settings.plans), 7, True))
+    world.give(api.PlansChanged(list(world.settings.plans), 7, True))
     world.ask(plan=CAPPED, width=40.0)
     assert not [call for call in world.counts if call.amount > 0.5]
-    world.give(api.Figures(list(world.settings.plans), 7, False))
+    world.give(api.PlansChanged(list(world.settings.plans), 7, False))
     world.ask(plan=CAPPED, width=40.0)
     assert before not in {call.name for call in world.counts} and world.counts
 
--- a/tests/routes/test_surge.py
+++ b/tests/routes/test_surge.py
@@ -14,7 +14,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.operator_config import Operator, Routes
-from fennelpoint.quotas import SPARED
+from fennelpoint.quotas import REFUSED_NAMES
 from fennelpoint.testing import Backend, ok, read_message, run, until, world
 
 RELOADS, REQUESTS, CLIENTS = 50, 5000, 24
@@ -123,8 +123,8 @@
             await asyncio.gather(*clients)
             await until(lambda: not host.tickets and not any(c.tell for c in made.ingress.counter.told))
             customers = host.controller.customers.values()
-            untold = sum(c.fresh + (c.calling or 0.0) for c in customers)
-            told = sum(total for name, total in made.count.totals.items() if int(name) < SPARED)
+            untold = sum(c.fresh + (c.reporting or 0.0) for c in customers)
+            told = sum(total for name, total in made.count.totals.items() if int(name) < REFUSED_NAMES)
             assert abs(told + untold - sum(surge.charged.values())) < 1e-3
 
     run(play(), 120.0)
--- a/tests/routes/test_under_change.py
+++ b/tests/routes/test_under_change.py
@@ -7,7 +7,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.operator_config import Operator, Routes
-from fennelpoint.quotas import SPARED
+from fennelpoint.quotas import REFUSED_NAMES
 from fennelpoint.testing import Backend, ok, read_message, run, until, world
 
 BODY = """
@@ -87,8 +87,8 @@
             assert len(charged) == len(backend.seen) == (5 if state == "held" else 1) + (change != "gone")
             assert change == "gone" or charged[-1] == (3.0 if change == "units" else 1.0)
             await until(lambda: not host.tickets and not any(c.tell for c in made.ingress.counter.told))
-            untold = sum(c.fresh + (c.calling or 0.0) for c in host.controller.customers.values())
-            told = sum(total for name, total in made.count.totals.items() if int(name) < SPARED)
+            untold = sum(c.fresh + (c.reporting or 0.0) for c in host.controller.customers.values())
+            told = sum(total for name, total in made.count.totals.items() if int(name) < REFUSED_NAMES)
             assert told + untold == pytest.approx(sum(charged))
             writer.close()
 
--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -3,7 +3,7 @@
 import pytest
 
 from fennelpoint import interface as api
-from fennelpoint.regulation import FULL_STEP, PERIOD, STEP
+from fennelpoint.regulation import FULL_STEP, PERIOD_S, STEP
 from fennelpoint.system.proxy.controller import Decider
 from fennelpoint.system.proxy.events import BackendPlaces, Catalogue, LeasedShares
 from fennelpoint.system.registry.allocator import Allocator
@@ -116,11 +116,11 @@
 
 def test_when_one_fails_the_lucky_one_is_cut_and_gets_its_room_back_when_none_fails() -> None:
     day = Day()
-    day.one.quotas.own_rate = lambda c, now: 3.0 if c.key == 2 else 10.0   # t2 is over its quota
-    day.one.regulation.own_rate = day.one.quotas.own_rate
+    day.one.quotas.local_rate = lambda c, now: 3.0 if c.key == 2 else 10.0   # t2 is over its quota
+    day.one.regulation.local_rate = day.one.quotas.local_rate
     day.play(3.0, {0: 5.0, 2: 8.0}, {0: 0.9, 2: 0.05})
     cut = day.regulation.cut
-    assert day.regulation.pressed and [c.key for c, _ in cut.takes] == [2]
+    assert day.regulation.is_overloaded and [c.key for c, _ in cut.takes] == [2]
     assert day.one.customers[2].cap < 8.0 and day.one.customers[0].cap is None
     day.play(8.0, {0: 5.0, 2: 8.0}, {0: 0.05, 2: 0.05})
     assert day.regulation.cut is None and day.one.customers[2].cap is None
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("sharp", [False, True])
 def test_steps_are_constant_without_a_confident_fit_and_longer_with_one(sharp: bool) -> None:
     day = Day()
-    day.one.regulation.own_rate = lambda c, now: 3.0 if c.key == 2 else 10.0
+    day.one.regulation.local_rate = lambda c, now: 3.0 if c.key == 2 else 10.0
     for i in range(30 if sharp else 0):
         day.regulation.fit.add(1.0 + i % 5, 0.2 + 0.02 * (i % 5), 0.98)
     day.play(3.1, {0: 5.0, 2: 8.0}, {0: 0.9, 2: 0.05})
@@ -153,4 +153,4 @@
         for front in fronts:    # silent: even shares again
             grant = allocator.want(front, 1, "ra", newest, {}, None, {"t": 20.0}, {}, now)
             parts[front] = grant.quotas.get("t", 0)
-    assert all(280 < part < 380 for part in parts.values()) and PERIOD == 0.5
+    assert all(280 < part < 380 for part in parts.values()) and PERIOD_S == 0.5
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -153,7 +153,7 @@
     host.batch(*take(batch(spawn(), roster())), 0)
     first = host.instances[3]
     host.batch(*take(batch(record(70, b""), spawn())), 1)
-    assert host.instances[3] is not first and not host.instances[3].fleet.known
+    assert host.instances[3] is not first and not host.instances[3].fleet.backends
 
 
 def test_event_for_a_stopped_instance_is_ignored():
@@ -191,14 +191,14 @@
     (batch(record(100, bytes(27) + struct.pack(">HHHB", 0, 0, 0, 0))), "unknown status 0"),
     (batch(spawn(), roster(), request(cls=1)), "record 2: class 1 is not among the 1 of the settings"),
     (batch(spawn(), roster(), request(plan=4)), "record 2: plan 4 is not among the 1 of the settings"),
-    (batch(spawn(), request(left=float("nan"))), "record 1: time left nan is not a finite figure"),
-    (batch(spawn(), request(units=-1.0)), "record 1: units -1.0 is not a finite figure"),
-    (batch(spawn(), outcome(latency=-0.5)), "record 1: latency -0.5 is not a finite figure"),
+    (batch(spawn(), request(left=float("nan"))), "record 1: time left nan is not a finite number"),
+    (batch(spawn(), request(units=-1.0)), "record 1: units -1.0 is not a finite number"),
+    (batch(spawn(), outcome(latency=-0.5)), "record 1: latency -0.5 is not a finite number"),
     (batch(spawn(), outcome(report=(float("inf"),))), "record 1: a load report of [inf] is not finite"),
     (batch(spawn(), record(90, struct.pack(">QHfd", 9, 100, float("nan"), 0.1))), "total nan is not finite"),
     (batch(spawn(ENV.replace("aim_s=1.0", "aim_s=9.0"))), "record 0: classes[0].aim: 9.0 is not between 0"),
     (batch(spawn(ENV.replace("quota_rate=4.0", "quota_rate=-4.0"))), "plans[0].rate: -4.0 is not a finite"),
-    (batch(spawn(ENV.replace("grades.count=1", "grades.count=0"))), "classes: there must be one at least"),
+    (batch(spawn(ENV.replace("grades.count=1", "grades.count=0"))), "classes: at least one is required"),
 ])
 def test_bad_input_ends_with_one_plain_line(data, says):
     done = run(data)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -68,7 +68,7 @@
 def test_trust_returns_when_the_trouble_passes():
     world = three()
     drive(world, 4.0, 20, lambda b: (api.Status.ERROR, 0.005) if b == "a" else (api.Status.OK, 0.1))
-    world.wait(4 * selection.SLOW_HALF)
+    world.wait(4 * selection.SLOWNESS_HALF_LIFE_S)
     sent = drive(world, 5.0, 20, lambda b: (api.Status.OK, 0.1))
     assert sent["a"] > 0.5 * sent["b"]
 
@@ -76,7 +76,7 @@
 def test_if_all_look_bad_all_are_used():
     world = three()
     for b in world.control.fleet.ready:
-        world.control.selection.fail(b, world.now)
+        world.control.selection.penalize(b, world.now)
     pool = {a.backend for i in range(12) for a in world.ask(customer=i) if isinstance(a, api.Send)}
     assert pool == {"a", "b", "c"}
 
@@ -86,32 +86,32 @@
     world = World(make_settings())
     world.backends("a")
     drive(world, 2.0, 10, lambda b: (api.Status.OK, 0.1))
-    before = world.control.crowd.window
+    before = world.control.limiter.window
     drive(world, 3.0, 10, lambda b: None)
-    assert world.control.crowd.window < 0.7 * before
+    assert world.control.limiter.window < 0.7 * before
 
 
 def test_window_grows_while_answers_are_quick_and_shrinks_while_they_are_late():
     world = World(make_settings())
     world.backends("a")
-    world.control.crowd.window = 4.0
+    world.control.limiter.window = 4.0
     drive(world, 4.0, 60, lambda b: (api.Status.OK, 0.1))
-    grown = world.control.crowd.window
+    grown = world.control.limiter.window
     assert grown > 5.0
     drive(world, 6.0, 60, lambda b: (api.Status.OK, 0.6))
-    assert world.control.crowd.window < 0.7 * grown
+    assert world.control.limiter.window < 0.7 * grown
 
 
 def test_ingress_rests_while_its_window_is_under_one_attempt():
     """One attempt from each of many ingresses can still be too much (incident ia57e96)."""
     world = World(make_settings())
     world.backends("a", "b")
-    world.control.crowd.window, world.control.crowd.pressure = 0.5, 1.0
+    world.control.limiter.window, world.control.limiter.pressure = 0.5, 1.0
     (send,) = world.ask()
     world.now += 1.0
     world.answer(send.request, send.backend, latency=1.0)
     assert world.ask(customer=2) == []
-    assert world.now < world.control.crowd.rest_until <= world.now + selection.REST_MOST
+    assert world.now < world.control.limiter.rest_until <= world.now + selection.MAX_REST_S
 
 
 def test_few_stalled_backends_do_not_close_the_window():
@@ -119,8 +119,8 @@
     world = World(make_settings())
     world.backends("a")
     for latency in (40.0, 0.1, 0.1, 0.1, 0.1, 0.1):
-        world.control.selection.press(world.control.crowd, latency, latency, world.now)
-    assert world.control.crowd.pressure <= selection.TARGET
+        world.control.selection.adjust_window(world.control.limiter, latency, latency, world.now)
+    assert world.control.limiter.pressure <= selection.MAX_PRESSURE
 
 
 def test_large_fleet_is_used_in_part_and_in_whole_when_that_part_is_away():
@@ -133,9 +133,9 @@
         for a in world.ask(customer=customer):
             used.add(a.backend)
             world.answer(a.request, a.backend)
-    assert len(used) == selection.CANDIDATES
+    assert len(used) == selection.SUBSET_SIZE
     for name in used:
-        world.control.fleet.known[name].rest_until = world.now + 9.0
+        world.control.fleet.backends[name].rest_until = world.now + 9.0
     (send,) = world.ask(customer=999)
     assert send.backend not in used
 
@@ -143,11 +143,11 @@
 def test_same_zone_wins_near_ties():
     world = World(make_settings())
     world.roster(api.BackendEntry("far", READY, zone=1), api.BackendEntry("near", READY, zone=0))
-    near, far = (world.control.fleet.known[name] for name in ("near", "far"))
-    t = state.Try(api.Request(1, SAFE, 0, 1, 4.0, 1.0, 2.0, 0.0), None, 0.0, 0.0, 1.0,
-                    world.control.crowd)
+    near, far = (world.control.fleet.backends[name] for name in ("near", "far"))
+    t = state.PendingRequest(api.Request(1, SAFE, 0, 1, 4.0, 1.0, 2.0, 0.0), None, 0.0, 0.0, 1.0,
+                    world.control.limiter)
     cost = [world.control.selection.cost(b, 1.0, t, world.now) for b in (near, far)]
-    assert cost[1] == pytest.approx(selection.NEAR_TIE * cost[0])
+    assert cost[1] == pytest.approx(selection.OTHER_ZONE_FACTOR * cost[0])
     near.load += 1.0
     assert world.control.selection.cost(near, 1.0, t, world.now) > cost[1]  # no tie any more
 
@@ -202,7 +202,7 @@
     sent = drive(world, 3.0, 20, lambda b: (api.Status.OK, 0.2 if b == "a" else 0.1))
     assert sent["b"] > sent["a"] > 0 and sent["c"] < 0.5 * sent["b"]
     world.wait(5.0)
-    assert not world.control.line.open
+    assert not world.control.requests.open
 
 
 def test_stale_roster_names_a_dead_backend():
@@ -211,7 +211,7 @@
     world.roster(*(api.BackendEntry(n, READY) for n in "abc"), kind=api.RosterKind.CACHED)
     sent = drive(world, 5.0, 20,
                  lambda b: (api.Status.CONNECT_FAILED, 0.002) if b == "a" else (api.Status.OK, 0.1))
-    assert sent["a"] < 0.2 * sent["b"] and not world.control.line.open
+    assert sent["a"] < 0.2 * sent["b"] and not world.control.requests.open
 
 
 def test_connections_that_break_together_are_one_failure():
@@ -221,8 +221,8 @@
     world.now += 0.1
     for send in sends:
         world.answer(send.request, send.backend, api.Status.RESET, latency=0.1)
-    backend = world.control.fleet.known["a"]
-    assert backend.fails == 1 and backend.slow <= selection.FAILED
+    backend = world.control.fleet.backends["a"]
+    assert backend.fails == 1 and backend.slow <= selection.FAILURE_FACTOR
 
 
 def test_one_old_word_of_busy_cores_does_not_keep_all_away_from_an_idle_backend():
@@ -231,7 +231,7 @@
     world = World(make_settings(ingresses=3, report_via="answers", report_fields=["latency_ms", "util"]))
     world.backends("a", "b")
     for backend, util in (("a", 1.0), ("b", 0.2)) * 20:
-        world.control.selection.report(world.control.fleet.known[backend], [100.0, util], world.now)
+        world.control.selection.add_report(world.control.fleet.backends[backend], [100.0, util], world.now)
     chosen = [action.backend for customer in range(8) for action in world.ask(customer=customer)
               if isinstance(action, api.Send)]
     assert len(chosen) == 8 and chosen.count("a") >= 3
@@ -241,20 +241,20 @@
     """An ingress with one answer in a while: latencies about the target cut it down to one attempt."""
     world = World(make_settings())
     world.backends("a")
-    world.control.crowd.window, world.control.crowd.pressure = 8.0, 0.3
-    for _ in range(3 * selection.EVIDENCE):   # far apart: each comes after more than the time of an answer
+    world.control.limiter.window, world.control.limiter.pressure = 8.0, 0.3
+    for _ in range(3 * selection.MIN_EVIDENCE):   # far apart: each comes after more than the time of an answer
         world.now += 2.0
-        world.control.selection.press(world.control.crowd, 0.3, 0.3, world.now)
-    assert 8.0 * selection.WINDOW_CUT ** 3 <= world.control.crowd.window < 8.0
+        world.control.selection.adjust_window(world.control.limiter, 0.3, 0.3, world.now)
+    assert 8.0 * selection.WINDOW_CUT ** 3 <= world.control.limiter.window < 8.0
 
 
 def test_attempts_that_a_silent_backend_holds_do_not_fill_a_small_window():
     world = World(make_settings())
     world.backends("a", "b")
-    world.control.crowd.window = 2.0
+    world.control.limiter.window = 2.0
     held = kinds(world.ask(customer=1, cls=UNSAFE) + world.ask(customer=2, cls=UNSAFE))
     assert held == [api.Send, api.Send] and world.ask(customer=3) == []
     world.wait(3.0)     # over their aim, under their deadline
-    world.control.crowd.window = 2.0
+    world.control.limiter.window = 2.0
     assert kinds(world.ask(customer=4)) == [api.Send]
     assert world.ask(customer=5) == []      # half of what is out counts in any case
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -82,7 +82,7 @@
 
 def test_checker_sees_stores_that_are_never_put_right(monkeypatch):
     """The cause that was found, in its plainest form: what ran over is let in by."""
-    monkeypatch.setattr(shared_counter, "lacks", lambda plan, age, total, fresh: (0.0, plan.burst))
+    monkeypatch.setattr(shared_counter, "correction", lambda plan, age, total, fresh: (0.0, plan.burst))
     (rule,) = flood(0, 23.0).play().exact.values()
     assert rule.nearness > 1.5
 
@@ -151,7 +151,7 @@
             calls, world.counts = world.counts, []
             for call in calls:
                 world.give(api.CounterReply(call.name, api.Status.OK, total, 0.002))
-    assert not any(t.told for b in world.control.fleet.busy.values() for *_, t in b.out.values())
+    assert not any(t.is_counted for b in world.control.fleet.busy.values() for *_, t in b.in_flight.values())
 
 
 def test_reply_for_a_name_that_was_not_asked_is_nothing():
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -39,7 +39,7 @@
             writer.transport.abort()
             await until(lambda: not made.ingress.server.connections)
             await until(lambda: backend.ended and not made.ingress.host.tickets, LEFT_AT_WORK)
-            assert made.ingress.host.controller.fleet.out == 0
+            assert made.ingress.host.controller.fleet.in_flight == 0
 
     run(play())
 
@@ -72,7 +72,7 @@
             await until(lambda: not made.ingress.server.connections)
             assert made.ingress.host.tickets
             await until(lambda: not made.ingress.host.tickets)
-            assert backend.opened == 1 and made.ingress.host.controller.fleet.known["s-0"].fails == 0
+            assert backend.opened == 1 and made.ingress.host.controller.fleet.backends["s-0"].fails == 0
 
     run(play())
 
@@ -117,7 +117,7 @@
             await until(lambda: not made.ingress.server.connections)
             await until(lambda: not made.ingress.host.tickets, LEFT_AT_WORK)
             go_on.set()
-            assert made.ingress.host.controller.fleet.known["s-0"].fails == 0
+            assert made.ingress.host.controller.fleet.backends["s-0"].fails == 0
             monkeypatch.undo()
             line, _, _ = await ask(made, request())
             assert line.split()[1] == "200" and len(backend.seen) == 1
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -4,12 +4,12 @@
 from conftest import HARD, SOFT, World, make_settings
 
 from fennelpoint import regulation
-from fennelpoint.regulation import Fit
+from fennelpoint.regulation import LatencyFit
 from fennelpoint.state import Cut
 
 
-def fit_of(*points: tuple[float, float], memory: float = regulation.FIT_MEMORY) -> Fit:
-    fit = Fit()
+def fit_of(*points: tuple[float, float], memory: float = regulation.FIT_MEMORY) -> LatencyFit:
+    fit = LatencyFit()
     for x, y in points:
         fit.add(x, y, memory)
     return fit
@@ -21,20 +21,20 @@
 def test_fit_against_hand_computed_values():
     fit = fit_of(*LINE, memory=1.0)
     # means 2.5 and 4, sum of squares about the mean 5, of products 7: slope 1.4, intercept 0.5
-    assert fit.at(0.0)[0] == pytest.approx(0.5)
+    assert fit.predict(0.0)[0] == pytest.approx(0.5)
     # residues 0.1, -0.3, 0.3, -0.1: their squares add to 0.2, S = sqrt(0.2 / 2)
     # S_p at 5 = sqrt(0.1 * (1 + 1/4 + 2.5**2 / 5)) = sqrt(0.25)
-    assert fit.at(5.0) == (pytest.approx(7.5), pytest.approx(2.0))
+    assert fit.predict(5.0) == (pytest.approx(7.5), pytest.approx(2.0))
 
 
 def test_confidence_is_less_far_from_what_was_seen():
     fit = fit_of(*LINE)
-    assert fit.at(2.5)[1] > fit.at(6.0)[1] > fit.at(20.0)[1] > 0.0
+    assert fit.predict(2.5)[1] > fit.predict(6.0)[1] > fit.predict(20.0)[1] > 0.0
 
 
 def test_no_confidence_without_two_rates():
-    assert fit_of(*[(3.0, 0.4)] * 5).at(9.0) == (pytest.approx(0.4), 0.0)
-    assert Fit().at(1.0) == (0.0, 0.0)
+    assert fit_of(*[(3.0, 0.4)] * 5).predict(9.0) == (pytest.approx(0.4), 0.0)
+    assert LatencyFit().predict(1.0) == (0.0, 0.0)
 
 
 def customer(world: World, key: int, plan: int, rate: float, ratio: float, worth: float):
@@ -42,7 +42,7 @@
     world.ask(plan=plan, customer=key)
     c = world.control.customers[key]
     world.control.regulation.active[key] = c
-    c.rate, c.sent, c.ratio, c.ratios, c.worth = rate, rate * regulation.PERIOD, ratio, [ratio], worth
+    c.rate, c.sent_units, c.ratio, c.ratios, c.worth = rate, rate * regulation.PERIOD_S, ratio, [ratio], worth
     return c
 
 
@@ -52,7 +52,7 @@
 
 
 def regulate(world: World) -> None:
-    world.control.regulation.regulate(world.now, regulation.PERIOD)
+    world.control.regulation.regulate(world.now, regulation.PERIOD_S)
 
 
 def cut_keys(world: World) -> list[int]:
@@ -102,7 +102,7 @@
 def test_steps_scale_with_confidence(quiet):
     for i in range(40):
         quiet.control.regulation.fit.add(10.0 + i % 5, 0.2 + 0.01 * (i % 5), regulation.FIT_MEMORY)  # a sharp fit
-    quiet.control.regulation.work = 12.0 * regulation.PERIOD
+    quiet.control.regulation.work = 12.0 * regulation.PERIOD_S
     customer(quiet, 1, HARD, rate=10.0 / 6, ratio=2.0, worth=1.0)
     customer(quiet, 2, SOFT, rate=50.0 / 6, ratio=0.5, worth=2.0)
     regulate(quiet)
@@ -117,17 +117,17 @@
     c = customer(quiet, 1, SOFT, rate=2.0, ratio=0.5, worth=1.0)
     made = Cut([], worst=1.5, rates={1: 2.0}, lucky={1}, predicted=0.5)
     quiet.control.regulation.cut = made
-    afresh = quiet.control.regulation.afresh
+    afresh = quiet.control.regulation.is_outdated
     steady = regions_of(quiet, lucky=[c])
-    assert not afresh(steady, worst=1.4, seen=0.5)
-    assert afresh(steady, worst=1.6, seen=0.5)          # the failing latency rose
+    assert not afresh(steady, worst=1.4, latency=0.5)
+    assert afresh(steady, worst=1.6, latency=0.5)          # the failing latency rose
     made.lucky.clear()
-    assert afresh(steady, worst=1.4, seen=0.5)          # a candidate turned lucky
+    assert afresh(steady, worst=1.4, latency=0.5)          # a candidate turned lucky
     made.lucky.add(1)
     c.rate = 4.2
-    assert afresh(steady, worst=1.4, seen=0.5)          # a rate doubled
+    assert afresh(steady, worst=1.4, latency=0.5)          # a rate doubled
     c.rate = 2.0
-    assert afresh(steady, worst=1.4, seen=1.2)          # seen latency is twice the predicted
+    assert afresh(steady, worst=1.4, latency=1.2)          # seen latency is twice the predicted
 
 
 def test_decision_stands_for_m_steps(quiet):
@@ -159,6 +159,6 @@
     """A crushed rate must not set the pace of its own recovery (incident i82d844)."""
     c = customer(quiet, 1, HARD, rate=0.0, ratio=0.5, worth=1.0)
     c.cap = 0.0
-    for _ in range(int(10.0 / regulation.PERIOD)):
+    for _ in range(int(10.0 / regulation.PERIOD_S)):
         regulate(quiet)
     assert c.cap is None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -151,7 +151,8 @@
     told = Told()
     told.totals[name_of(1, told.now)[0]] = -3.0
     told.settle(told.ask(1))
-    assert told.node.quotas.asking == 1.0 and told.node.line.open[1].told and told.level() == pytest.approx(7.0)
+    assert told.node.quotas.asking == 1.0 and told.node.requests.open[1].is_counted and (
+        told.level() == pytest.approx(7.0))
 
 
 def test_units_of_a_client_that_leaves_are_given_back():
@@ -178,7 +179,7 @@
     told.totals.clear()
     told.now += 0.01
     told.settle(told.ask(8))
-    assert told.level() == pytest.approx(0.04) and told.node.line.open[8].told
+    assert told.level() == pytest.approx(0.04) and told.node.requests.open[8].is_counted
 
 
 def test_roster_of_thousands_and_of_none():
@@ -187,8 +188,8 @@
     fleet.give(0, api.Roster(api.RosterKind.FULL, 2, entries))
     fleet.play(2.0, HARD, range(0, 5), 2.0)
     used = len(fleet.sent)
-    assert used > 5 and len(node.fleet.known) == 5000 and len(fleet.to) <= 16
+    assert used > 5 and len(node.fleet.backends) == 5000 and len(fleet.to) <= 16
     fleet.play(1.0, HARD, range(0, 0), 1.0)
     fleet.give(0, api.Roster(api.RosterKind.FULL, 3, []))
     fleet.play(2.0, HARD, range(0, 5), 2.0)
-    assert len(fleet.sent) == used and not node.fleet.known
+    assert len(fleet.sent) == used and not node.fleet.backends
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,8 +14,8 @@
 from fennelpoint import handover_record as records
 from fennelpoint import interface as api
 from fennelpoint.file_descriptors import plan
-from fennelpoint.handover import tell, tell_rest
-from fennelpoint.handover_record import AHEAD, MOST, OLDEST, BadRecord, Record, decode, encode
+from fennelpoint.handover import final_snapshot, snapshot
+from fennelpoint.handover_record import MAX_AGE_S, MAX_AHEAD_S, MAX_BYTES, BadRecord, Record, decode, encode
 from fennelpoint.net.hot_restart import Relay
 from fennelpoint.restart_coordination import WAIT, Give, Serve, Share, Succession, Take
 
@@ -62,8 +62,8 @@
 
 @pytest.mark.parametrize("changes, says", [
     (dict(name="n1"), "it is of 'n0'"), (dict(listen="127.0.0.1:81"), "at '127.0.0.1:80'"),
-    (dict(reader=5), "for generation 4, and this is 5"), (dict(now=1000.0 + OLDEST + 0.1), "s old"),
-    (dict(now=1000.0 - AHEAD - 0.1), "s old")])
+    (dict(reader=5), "for generation 4, and this is 5"), (dict(now=1000.0 + MAX_AGE_S + 0.1), "s old"),
+    (dict(now=1000.0 - MAX_AHEAD_S - 0.1), "s old")])
 def test_a_record_that_is_foreign_stale_or_from_the_future_is_told(changes, says):
     with pytest.raises(BadRecord, match=says):
         read(encode(GOOD), **changes)
@@ -89,7 +89,7 @@
     customers = [{"key": k, "x": "y" * 100} for k in range(40_000)]
     data = encode(Record("n0", "127.0.0.1:80", 3, 4, 1000.0, False, {"customers": customers}))
     left = read(data).state["customers"]
-    assert len(data) < MOST + 200 and 0 < len(left) < 40_000 and left == customers[:len(left)]
+    assert len(data) < MAX_BYTES + 200 and 0 < len(left) < 40_000 and left == customers[:len(left)]
 
 
 # Who lives, who serves
@@ -213,10 +213,10 @@
 
 def hand_over(old: World, new: World) -> None:
     new.now = old.now
-    new.give(api.Twins(2))
-    state = tell(old.control, 2)
-    old.give(api.Twins(2))
-    new.give(api.Told(state))
+    new.give(api.ProcessCount(2))
+    state = snapshot(old.control, 2)
+    old.give(api.ProcessCount(2))
+    new.give(api.PredecessorState(state))
 
 
 def test_what_is_told_is_taken_off():
@@ -262,10 +262,10 @@
     hand_over(old, new)
     old.control.customers[9].fresh, old.control.customers[9].untold = 2.0, 1.5
     level = old.control.customers[9].level
-    state = tell_rest(old.control)
-    new.give(api.Twins(1))
+    state = final_snapshot(old.control)
+    new.give(api.ProcessCount(1))
     mine, fresh = new.control.customers[9].level, new.control.customers[9].fresh
-    new.give(api.Told(state))
+    new.give(api.PredecessorState(state))
     c = new.control.customers[9]
     assert c.level == pytest.approx(min(8.0, mine + level)) and c.fresh == fresh + 2.0 and c.untold == 1.5
     assert c.width == 2.0
@@ -274,28 +274,28 @@
 def test_health_goes_by_the_start_of_a_backend():
     old, new = pair(HARD)
     for name in ("s1", "s2"):
-        b = old.control.fleet.known[name]
+        b = old.control.fleet.backends[name]
         b.slow, b.fails, b.rest_until = 5.0, 3, old.now + 2.0
     new.roster(api.BackendEntry("s1", READY), api.BackendEntry("s2", READY, started_at=new.now))
     hand_over(old, new)
-    known = new.control.fleet.known
+    known = new.control.fleet.backends
     assert (known["s1"].slow, known["s1"].fails) == (5.0, 3) and known["s2"].slow == 1.0
 
 
 def test_health_waits_for_a_list_that_comes_later():
     old, _ = pair(HARD)
-    old.control.fleet.known["s1"].slow = 5.0
+    old.control.fleet.backends["s1"].slow = 5.0
     new = World(make_settings())
     hand_over(old, new)
     new.backends("s1")
-    assert new.control.fleet.known["s1"].slow == 5.0
+    assert new.control.fleet.backends["s1"].slow == 5.0
 
 
 @given(st.dictionaries(st.sampled_from(["customers", "rest", "backends", "typical", "usual", "odds", "crowds",
                                         "asking", "answers"]), JSON, max_size=9))
 def test_a_state_of_any_shape_harms_nothing(state):
     made = World(make_settings())
-    made.give(api.Told(state))
+    made.give(api.PredecessorState(state))
     made.backends("a", "b")
     assert any(isinstance(a, api.Send | api.Refuse) for a in made.ask() + made.wait(4.0))
 
@@ -308,14 +308,14 @@
     {"store": "x"}, {"ceiling": float("inf")}])
 def test_an_entry_that_makes_no_sense_is_left_out_and_counted(change):
     made = World(make_settings())
-    actions = made.give(api.Told({"customers": [ENTRY | change, ENTRY | {"key": 10}]}))
+    actions = made.give(api.PredecessorState({"customers": [ENTRY | change, ENTRY | {"key": 10}]}))
     assert [type(a) for a in actions] == [api.Log] and actions[0].text.startswith("1 entries")
     assert list(made.control.customers) == [10]
 
 
 def test_more_than_a_burst_is_believed_of_nobody():
     made = World(make_settings())
-    made.give(api.Told({"customers": [ENTRY | {"level": 1e9, "ceiling": 1e9}]}))
+    made.give(api.PredecessorState({"customers": [ENTRY | {"level": 1e9, "ceiling": 1e9}]}))
     assert made.control.customers[9].level == 8.0 and made.control.customers[9].ceiling == 0.0
 
 
@@ -352,7 +352,7 @@
 @pytest.mark.parametrize("spoil, says", [
     (lambda path: path.write_bytes(path.read_bytes()[:-30]), "torn"),
     (lambda path: path.write_bytes(b"\x00" * 100), "no handover"),
-    (lambda path: path.write_bytes(b"x" * (MOST + 2000)), "larger"),
+    (lambda path: path.write_bytes(b"x" * (MAX_BYTES + 2000)), "larger"),
     (lambda path: path.write_bytes(encode(Record("n1", "a:1", 1, 2, time.time()))), "it is of 'n1'"),
     (lambda path: path.write_bytes(encode(Record("n0", "a:1", 1, 2, time.time() - 60.0))), "s old"),
     (lambda path: path.write_bytes(encode(Record("n0", "a:1", 1, 2, time.time() + 60.0))), "s old"),
@@ -404,23 +404,23 @@
     hand_over(old, new)
     c = old.control.customers[9]
     c.level, c.fresh = -1.0, 2.0
-    state = tell_rest(old.control)
-    new.give(api.Twins(1))
+    state = final_snapshot(old.control)
+    new.give(api.ProcessCount(1))
     mine = new.control.customers[9].level
-    new.give(api.Told(state))
+    new.give(api.PredecessorState(state))
     assert new.control.customers[9].level == mine - 1.0 and new.control.customers[9].fresh == 2.0
 
 
 def test_a_word_that_comes_late_leaves_customers_as_they_are_served_here():
     """Taken over what was sent meanwhile, it gave a fresh bucket and lost count of what is out."""
     old, new = pair(HARD)
-    new.give(api.Twins(2))
-    state = tell(old.control, 2)
+    new.give(api.ProcessCount(2))
+    state = snapshot(old.control, 2)
     new.ask(UNSAFE, HARD, customer=9)
     before = new.control.customers[9]
     level, out = before.level, before.open
     assert out > 0
-    new.give(api.Told(state))
+    new.give(api.PredecessorState(state))
     assert new.control.customers[9] is before and (before.level, before.open) == (level, out)
 
 
@@ -473,7 +473,7 @@
     twins = [World(make_settings()) for _ in range(2)]
     for i, made in enumerate(twins):
         made.control.random.seed(100 * seed + i)
-        made.give(api.Twins(2))
+        made.give(api.ProcessCount(2))
     both = cold_sends(twins)
     assert both[1] > 0.9 * one[1] > 0
     # Its even part would be one in six; at a fifth of its capacity it is drawn a fifth as often.
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -156,7 +156,7 @@
         for cuts in (range(len(answer)), [len(answer)]):
             async with world(Fake(handle), Fake(handle)) as made:
                 for cut[0] in cuts:
-                    for backend in made.ingress.host.controller.fleet.known.values():
+                    for backend in made.ingress.host.controller.fleet.backends.values():
                         backend.fails, backend.rest_until = 0, 0.0      # else it is left alone after a few
                     reader, writer = await made.connect()
                     writer.write(request("book", b"x", left=1500))
@@ -331,7 +331,7 @@
             await until(lambda: backend.heads and not made.ingress.host.tickets)
             await until(lambda: not made.ingress.server.connections and not made.ingress.backends.all)
             assert not backend.seen and made.ingress.budget.used == made.ingress.budget.flows == 0
-            assert made.ingress.host.controller.fleet.out == 0
+            assert made.ingress.host.controller.fleet.in_flight == 0
 
     run(play())
 
@@ -345,7 +345,7 @@
             await until(lambda: backend.heads)
             writer.transport.abort()
             await until(lambda: not made.ingress.host.tickets and not made.ingress.backends.all)
-            assert not backend.seen and made.ingress.host.controller.fleet.out == 0
+            assert not backend.seen and made.ingress.host.controller.fleet.in_flight == 0
 
     run(play())
 
@@ -544,7 +544,7 @@
             reader, writer = await made.connect()
             writer.write(request("book", b"x", left=1500, path="/odd"))
             assert (await asyncio.wait_for(read_message(reader), 1.0))[0].split()[1] == "502"
-            for backend in made.ingress.host.controller.fleet.known.values():
+            for backend in made.ingress.host.controller.fleet.backends.values():
                 backend.fails, backend.rest_until = 0, 0.0
             writer.write(request())
             assert (await read_message(reader))[2] == b"yes" and fake.opened == 1
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -6,7 +6,7 @@
 from fennelpoint import interface as api
 from fennelpoint import quotas, selection, state
 from fennelpoint.settings import from_json
-from fennelpoint.shared_counter import LIFE, base_of, name_of
+from fennelpoint.shared_counter import COUNT_LIFETIME_S, base_of, name_of
 from fennelpoint.testing import SETTINGS
 
 INGRESSES = 200
@@ -50,7 +50,7 @@
 def test_sparse_try_waits_for_its_own_total():
     world = sparse()
     assert ask(world) == []
-    assert [(c.amount, c.forget_after) for c in world.counts] == [(1.0, LIFE)]
+    assert [(c.amount, c.forget_after) for c in world.counts] == [(1.0, COUNT_LIFETIME_S)]
     assert kinds(reply(world, total=used(world, 7.0) + 1.0)) == [api.Send]
 
 
@@ -83,7 +83,7 @@
 def test_soft_sparse_plan_runs_lucky():
     world = sparse()
     assert kinds(ask(world, plan=SOFT)) == [api.Send] and not world.counts  # whatever the answer
-    world.control.regulation.pressed = True
+    world.control.regulation.is_overloaded = True
     assert ask(world, plan=SOFT) == [] and len(world.counts) == 1
 
 
@@ -120,7 +120,7 @@
             actions = reply(world, status)
         assert kinds(actions) == [api.Send]
         world.answer(actions[0].request, actions[0].backend)
-    assert calls <= 60 and world.control.quotas.asking == quotas.LEAST_ASKING
+    assert calls <= 60 and world.control.quotas.asking == quotas.MIN_ASKING
 
 
 def test_slow_counter_is_asked_less_and_a_quick_one_more():
@@ -180,7 +180,7 @@
 
     world.control.selection.cost = counted
     world.ask()
-    assert 0 < looked <= selection.CANDIDATES
+    assert 0 < looked <= selection.SUBSET_SIZE
 
 
 def test_many_ingresses_spread_over_alike_backends():
@@ -218,7 +218,7 @@
     world = probing()
     world.ask()
     world.give(api.ProbeResult("a", api.Status.OK, 0.002, [0.0, 1.0]))
-    assert kinds(world.wait(2 * selection.PROBE_WAIT)) == [api.Send]
+    assert kinds(world.wait(2 * selection.PROBE_WAIT_S)) == [api.Send]
 
 
 def test_report_that_stays_out_looks_busy():
@@ -233,12 +233,12 @@
 
 def test_old_idle_report_is_not_trusted():
     world = probing()
-    backend, other = (world.control.fleet.known[name] for name in "ab")
+    backend, other = (world.control.fleet.backends[name] for name in "ab")
     world.control.selection.usual_held = 4.0
-    world.control.selection.report(backend, [0.0, 0.0], world.now)
-    t = state.Try(api.Request(1, 0, 0, 1, 4.0, 1.0, 2.0, 0.0), None, 0.0, 0.0, 1.0, world.control.crowd,
-                    picked=[backend])
-    cost, late = world.control.selection.cost, world.now + 8 * selection.REPORT_HALF
+    world.control.selection.add_report(backend, [0.0, 0.0], world.now)
+    t = state.PendingRequest(api.Request(1, 0, 0, 1, 4.0, 1.0, 2.0, 0.0), None, 0.0, 0.0, 1.0, world.control.limiter,
+                    probed=[backend])
+    cost, late = world.control.selection.cost, world.now + 8 * selection.REPORT_HALF_LIFE_S
     assert cost(backend, 1.0, t, world.now) < 0.5 * cost(other, 1.0, t, world.now)
     assert cost(backend, 1.0, t, late) > 0.9 * cost(other, 1.0, t, late)
 
@@ -246,8 +246,8 @@
 @pytest.mark.parametrize("values", [[float("nan"), 1.0], [-5.0], [float("inf"), float("inf")]])
 def test_report_that_is_no_number_never_reaches_a_decision(values):
     world = probing()
-    world.control.selection.report(world.control.fleet.known["a"], values, world.now)
-    assert 0.0 <= world.control.fleet.known["a"].reported < 100.0
+    world.control.selection.add_report(world.control.fleet.backends["a"], values, world.now)
+    assert 0.0 <= world.control.fleet.backends["a"].reported < 100.0
 
 
 def test_few_ingresses_do_not_probe():
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -4,7 +4,7 @@
 from conftest import CAPPED, HARD, READY, SLOTS, SOFT, UNSAFE, World, kinds, make_settings, wide
 
 from fennelpoint import interface as api
-from fennelpoint.bookkeeping import PUMP_TOKEN as TOKEN_PUMP
+from fennelpoint.bookkeeping import CHECK_TOKEN
 
 
 def admitted(world: World, count: int, **ask) -> int:
@@ -138,7 +138,7 @@
         world.ask(customer=customer)
         world.answer(world.ids, world.actions[0].backend)
         world.wait(0.5)
-    assert len(world.control.customers) <= 2 * 15.0 + 2 and not world.control.line.open
+    assert len(world.control.customers) <= 2 * 15.0 + 2 and not world.control.requests.open
 
 
 def test_soft_plan_runs_lucky_and_hard_plan_stays_inside():
@@ -191,7 +191,7 @@
 def test_dearer_held_try_goes_first():
     world = World(make_settings())
     world.backends("a")
-    sent = [world.ask(customer=i)[0] for i in range(int(world.control.crowd.window))]
+    sent = [world.ask(customer=i)[0] for i in range(int(world.control.limiter.window))]
     assert world.ask(customer=11) == []
     cheap = world.ids
     world.ask(cls=UNSAFE, plan=SOFT, customer=12, left=6.0)
@@ -231,7 +231,7 @@
         sent += kinds(world.wait(0.02)).count(api.Send)
     customer = world.control.customers[1]
     told = sum(c.amount for c in world.counts)
-    assert told + customer.fresh + customer.spared + customer.ahead(0.0) == 100.0
+    assert told + customer.fresh + customer.refused + customer.ahead(0.0) == 100.0
     assert sent <= 4 + 2 * 2 + 2  # the burst's half, two units a second here, one held
 
 
@@ -243,7 +243,7 @@
         if kinds(sends) != [api.Send]:
             break
         world.answer(sends[0].request, "a")
-    before = world.control.timers.at[TOKEN_PUMP]
+    before = world.control.timers.due_at[CHECK_TOKEN]
     assert before - world.now > 0.1         # the bucket fills at 4 units a second, half of them here
     assert kinds(world.wait(before - world.now + 0.01)) == [api.Send]
 
@@ -255,11 +255,11 @@
         if kinds(sends) != [api.Send]:
             break
         world.answer(sends[0].request, "a")
-    assert world.control.timers.at[TOKEN_PUMP] - world.now > 0.1
+    assert world.control.timers.due_at[CHECK_TOKEN] - world.now > 0.1
     (customer,) = world.control.customers.values()
-    customer.calling = 1.0
+    customer.reporting = 1.0
     world.give(api.CounterReply(customer.key, api.Status.OK, 5.0, 0.001))
-    assert world.control.timers.at[TOKEN_PUMP] - world.now < 0.03
+    assert world.control.timers.due_at[CHECK_TOKEN] - world.now < 0.03
 
 
 def test_customer_that_cannot_be_forgotten_yet_does_not_hide_those_behind_it():
@@ -281,7 +281,7 @@
     began = world.now
     assert world.ask(left=0.95) == []   # its units come after 0.5 s, in time for its aim
     ended = []
-    while world.control.line.held:
+    while world.control.requests.waiting:
         ended += world.wait(0.01)
     assert kinds(ended) == [api.Refuse] and world.now - began < 0.475
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,7 +16,7 @@
     world = World(make_settings())
     assert world.ask(left=0.5) == []
     assert kinds(world.wait(0.5)) == [api.Refuse]
-    assert not world.control.line.open
+    assert not world.control.requests.open
 
 
 def test_attempt_that_times_out_at_the_end_fails_the_unsafe():
@@ -67,13 +67,13 @@
     world.backends("a", cell=1)
     (send,) = world.ask(cls=KEYED, left=6.0)
     world.now += 2.9
-    world.control.fleet.known["a"].entry.state = DRAINING
+    world.control.fleet.backends["a"].entry.state = DRAINING
     world.control.fleet.ready.clear()
     world.answer(send.request, "a", api.Status.RESET, latency=2.9)
     world.now += 0.2
     world.roster(api.BackendEntry("a", READY, cell=1))
     assert api.Send not in kinds(world.wait(3.0))
-    assert not world.control.line.open
+    assert not world.control.requests.open
 
 
 def test_retry_budget_stops_a_storm():
@@ -190,9 +190,9 @@
 def test_restart_listed_with_a_new_start_keeps_what_is_out_and_answers_count(world):
     (send,) = world.ask()
     world.roster(api.BackendEntry(send.backend, READY, started_at=world.now), kind=CHANGES)
-    assert world.control.fleet.out == 1
+    assert world.control.fleet.in_flight == 1
     world.answer(send.request, send.backend)
-    assert world.control.fleet.out == 0 and not world.control.fleet.busy and not world.control.line.open
+    assert world.control.fleet.in_flight == 0 and not world.control.fleet.busy and not world.control.requests.open
 
 
 def test_answers_of_a_backend_that_is_gone_are_taken(world):
@@ -200,7 +200,7 @@
     world.roster(api.BackendEntry(send.backend, GONE), kind=CHANGES)
     assert kinds(world.answer(send.request, send.backend, api.Status.RESET)) == [api.Fail]
     world.roster(kind=CHANGES)
-    assert send.backend not in world.control.fleet.known
+    assert send.backend not in world.control.fleet.backends
 
 
 def test_nothing_is_due_when_nothing_is_going_on(world):
@@ -284,7 +284,7 @@
         backend, sent = out.pop(request)
         answered.add(request)
         check(world.answer(request, backend, api.Status.OK, world.now - sent, attempts[request]))
-    while out or world.control.line.held:
+    while out or world.control.requests.waiting:
         due = min(world.timers)
         world.timers.remove(due)
         world.now = max(world.now, due[0])
@@ -293,4 +293,4 @@
             backend, sent = out.pop(request)
             answered.add(request)
             check(world.answer(request, backend, api.Status.OK, world.now - sent, attempts[request]))
-    assert answered == set(asked) and not world.control.line.open
+    assert answered == set(asked) and not world.control.requests.open
--- a/tests/test_shared_counter.py
+++ b/tests/test_shared_counter.py
@@ -7,16 +7,16 @@
 from fennelpoint import shared_counter
 from fennelpoint.interface import Plan
 from fennelpoint.shared_counter import (
-    EPOCH,
+    COUNT_LIFETIME_S,
+    EPOCH_S,
     EPOCHS,
-    LIFE,
-    SPACE,
+    NAME_SPACE,
     base_of,
-    known,
+    corrected_twice,
+    is_initialised,
     level_of,
     name_of,
     owed,
-    twice,
     unproven,
 )
 
@@ -26,23 +26,23 @@
 
 
 def lacks(*values: float) -> float:
-    fix, level = shared_counter.lacks(*values)
+    fix, level = shared_counter.correction(*values)
     plan, age, total, _ = values
-    assert not known(plan, age, total) or level == pytest.approx(level_of(plan, age, total))
+    assert not is_initialised(plan, age, total) or level == pytest.approx(level_of(plan, age, total))
     return fix
 
 
 @given(st.integers(0, 2 ** 33), st.floats(0.0, 4e9))
 def test_name_lasts_an_epoch_and_less_than_the_counter_keeps_it(key, now):
     name, start = name_of(key, now)
-    assert start <= now + 1e-3 and now < start + EPOCH + 1e-3 and EPOCH < LIFE
-    assert name >= SPACE > 2 ** 33 + (1 << 40) and name % SPACE == key
-    assert name_of(key, now + EPOCH)[0] != name and name < SPACE * (EPOCHS + 2) < 2 ** 63
+    assert start <= now + 1e-3 and now < start + EPOCH_S + 1e-3 and EPOCH_S < COUNT_LIFETIME_S
+    assert name >= NAME_SPACE > 2 ** 33 + (1 << 40) and name % NAME_SPACE == key
+    assert name_of(key, now + EPOCH_S)[0] != name and name < NAME_SPACE * (EPOCHS + 2) < 2 ** 63
 
 
 def test_epochs_of_customers_do_not_turn_in_step():
     starts = {round(name_of(key, 1e9)[1]) for key in range(1000)}
-    assert len(starts) > EPOCH - 5
+    assert len(starts) > EPOCH_S - 5
 
 
 @given(st.lists(st.tuples(st.floats(0.01, 20.0), st.sampled_from([1.0, 2.0])), max_size=60))
@@ -51,10 +51,10 @@
     age, total, true = 0.0, 0.0, PLAN.burst
     for gap, units in tries:
         age, true = age + gap, min(PLAN.burst, true + PLAN.rate * gap)
-        if age > EPOCH:
+        if age > EPOCH_S:
             return
         total += lacks(PLAN, age, total, PLAN.burst)
-        assert known(PLAN, age, total) and lacks(PLAN, age, total, PLAN.burst) == pytest.approx(0.0)
+        assert is_initialised(PLAN, age, total) and lacks(PLAN, age, total, PLAN.burst) == pytest.approx(0.0)
         took = units if level_of(PLAN, age, total) >= units - 1e-9 else 0.0
         total += took
         if true >= units:   # the exact one lets it in: then so does this one
@@ -64,30 +64,30 @@
 
 
 @pytest.mark.parametrize("others", [0.0, 1.0, 9.0, -3.0])
-@pytest.mark.parametrize("age", [0.0, 0.7, 30.0, EPOCH - 0.1])
+@pytest.mark.parametrize("age", [0.0, 0.7, 30.0, EPOCH_S - 0.1])
 def test_new_name_is_known_as_such_whatever_others_added_meanwhile(others, age):
-    assert not known(PLAN, age, others)
+    assert not is_initialised(PLAN, age, others)
     total = others + lacks(PLAN, age, others, 2.5)
-    assert known(PLAN, age, total) and level_of(PLAN, age, total) == pytest.approx(2.5)
+    assert is_initialised(PLAN, age, total) and level_of(PLAN, age, total) == pytest.approx(2.5)
 
 
 def test_who_put_it_right_after_another_knows_and_takes_it_back():
     fix = lacks(PLAN, 30.0, 0.0, PLAN.burst)
-    assert not twice(PLAN, 30.0, 3.0, fix) and twice(PLAN, 30.0, fix + 3.0, fix)
+    assert not corrected_twice(PLAN, 30.0, 3.0, fix) and corrected_twice(PLAN, 30.0, fix + 3.0, fix)
     over = BASE + 10.0      # of 34 that came in since the epoch began
     large = lacks(PLAN, 30.0, over, 0.0)
-    assert large == 20.0 and twice(PLAN, 30.0, over + large, large)
-    assert not twice(PLAN, 30.0, over + 2.0, large)
-    assert not twice(PLAN, 30.0, over + 20.0, 1.5)      # tries of others may have taken as much
+    assert large == 20.0 and corrected_twice(PLAN, 30.0, over + large, large)
+    assert not corrected_twice(PLAN, 30.0, over + 2.0, large)
+    assert not corrected_twice(PLAN, 30.0, over + 20.0, 1.5)      # tries of others may have taken as much
 
 
 def test_store_put_right_twice_is_found_so_by_all():
     """One of two who found it new never heard of its own correction."""
     total = 2.0 * lacks(PLAN, 30.0, 0.0, PLAN.burst)
-    assert not known(PLAN, 30.0, total)
+    assert not is_initialised(PLAN, 30.0, total)
     fix = lacks(PLAN, 30.0, total, PLAN.burst)
     assert level_of(PLAN, 30.0, total + fix) == pytest.approx(PLAN.burst)
-    assert twice(PLAN, 30.0, total + fix, fix) and not twice(PLAN, 30.0, total, fix)
+    assert corrected_twice(PLAN, 30.0, total + fix, fix) and not corrected_twice(PLAN, 30.0, total, fix)
     assert level_of(PLAN, 30.0, BASE + 36.0) == -2.0 and not lacks(PLAN, 30.0, BASE + 36.0, PLAN.burst)
 
 
@@ -104,10 +104,10 @@
 def test_a_total_tells_units_however_late_its_name_was_put_right(rate):
     """A counter that holds seven digits: the base must leave room for units."""
     plan = Plan("any", 1.0, rate=rate, burst=3.0 * rate, over_cost=1.0)
-    total = lacks(plan, EPOCH - 0.01, 0.0, plan.burst)
-    assert total < 1e6 and 0.5 <= shared_counter._figures(plan.burst, plan.rate)[1] <= EPOCH / 4
+    total = lacks(plan, EPOCH_S - 0.01, 0.0, plan.burst)
+    assert total < 1e6 and 0.5 <= shared_counter._figures(plan.burst, plan.rate)[1] <= EPOCH_S / 4
     seven = float(f"{total + 1.0:.7g}")
-    assert level_of(plan, EPOCH - 0.01, seven) == pytest.approx(plan.burst - 1.0, abs=0.06)
+    assert level_of(plan, EPOCH_S - 0.01, seven) == pytest.approx(plan.burst - 1.0, abs=0.06)
 
 
 def test_what_runs_over_under_a_ceiling_stays_within_its_slack():
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -215,7 +215,7 @@
             pool.begin(Exchange(lambda: b"", lambda *end: ended.append(end)), "s-0")
             assert ended == [(Status.MOOT, None)]
             assert status(await ask(made, request(left=2000))) == REFUSED
-            known = made.ingress.host.controller.fleet.known["s-0"]
+            known = made.ingress.host.controller.fleet.backends["s-0"]
             assert known.fails == 0 and known.slow == 1.0
             writer.close()
 
@@ -272,9 +272,9 @@
 
         async with world(*(Backend(answer, 0.02) for _ in range(8))) as made:
             control = made.ingress.host.controller
-            before = control.crowd.window
+            before = control.limiter.window
             gets = [status(a) for a in await asyncio.gather(*(ask(made, request()) for _ in range(24)))]
             assert next(turned_away, None) is None
-            assert gets.count(SERVED) > 12 and control.crowd.window > before / 4
+            assert gets.count(SERVED) > 12 and control.limiter.window > before / 4
 
     run(play())
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -100,7 +100,7 @@
     for units in (0.1, 0.2, 0.3):
         assert world.ask(units=units) == []
     world.wait(5.0)
-    assert not world.control.line.held and not world.control.customers[1].waits
+    assert not world.control.requests.waiting and not world.control.customers[1].queued
 
 
 @given(st.lists(st.tuples(st.sampled_from([SAFE, DEAR]), st.sampled_from([HARD, SOFT]), st.integers(1, 2),
@@ -111,9 +111,9 @@
         world.ask(cls, plan=plan, customer=plan, units=float(units))
         world.wait(pause)
         for customer in world.control.customers.values():
-            held = [t for t in world.control.line.held.values() if t.customer is customer]
-            for worth in {t.worth for t in held} | set(customer.waits):
-                units_held = sum(t.ask.units for t in held if t.worth >= worth)
+            held = [t for t in world.control.requests.waiting.values() if t.customer is customer]
+            for worth in {t.worth for t in held} | set(customer.queued):
+                units_held = sum(t.request.units for t in held if t.worth >= worth)
                 assert abs(customer.ahead(worth) - units_held) < 1e-6
 
 
