--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small world for the tests: settings, events in the field's words, and a driver that keeps the clock."""
+"""Shared test helpers: settings, and a harness that drives one controller on a simulated clock."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from fennelpoint.fleet import plan_parameters
 from fennelpoint.invariants import violations
 
-# The same verdict every time: examples are drawn from the test's own text, and none are kept.
+# Deterministic: examples derive from the test's source, and none are stored.
 hypothesis_profile.register_profile("same", derandomize=True, deadline=None, database=None)
 hypothesis_profile.load_profile("same")
 
-# Dozens of processes on one disk would wait for each other's syncs.
+# On one disk, dozens of processes would wait for each other's fsync.
 if os.access(memory := "/dev/shm", os.W_OK):
     os.environ.setdefault("LARCHWING_RIG_FOLDER", memory)
 
 @pytest.fixture(autouse=True)
 def no_invariant_is_violated():
-    """Any violation that the code counts while a test runs fails that test."""
+    """Fail a test during which an invariant violation was counted."""
     violations.counts.clear()
     yield
     assert violations.counts == {}
@@ -57,7 +57,7 @@
 
 @dataclass
 class World:
-    """One ingress and its clock; `actions` holds what it answered to the latest event."""
+    """One controller and its simulated clock; `actions` holds its actions for the latest event."""
 
     settings: api.Settings
     now: float = 100.0
@@ -98,7 +98,7 @@
         return self.give(api.Outcome(request, attempt, backend, status, latency, ended))
 
     def wait(self, seconds: float) -> list:
-        """Let the clock run; all that was answered to the timers on the way."""
+        """Advance the clock and fire the timers that are due; returns the actions."""
         end, out = self.now + seconds, []
         while due := sorted(t for t in self.timers if t[0] <= end):
             self.timers.remove(due[0])
@@ -109,7 +109,7 @@
 
     def count_replies(self, status: api.Status = api.Status.OK, others: float = 0.0,
                       totals: dict | None = None) -> None:
-        """Answer the calls that are out; `others` is what other ingresses add to every name."""
+        """Reply to the counter calls in flight; `others` is what other ingresses add to every name."""
         calls, self.counts = self.counts, []
         for call in calls:
             if totals is not None and status is api.Status.OK:
@@ -118,7 +118,7 @@
 
 
 def wide(**changes) -> World:
-    """Enough backends that only the quota decides."""
+    """A controller with so many backends that only the quota limits it."""
     made = World(make_settings(**changes))
     made.backends(*(f"s{i:02}" for i in range(40)))
     return made
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The codec against bytes laid out by hand, and the process against bad input."""
+"""The codec against hand-written bytes, and the process against invalid input."""
 
 import struct
 import subprocess
@@ -72,7 +72,7 @@
     return subprocess.run([sys.executable, "-m", "fennelpoint.adapter"], input=data, capture_output=True)
 
 
-def knock(instance: int = 3) -> bytes:
+def raw_request(instance: int = 3) -> bytes:
     return bytes.fromhex("500000002a") + struct.pack(">I", instance) + bytes.fromhex(
         "5d3a91c4 00 00000000 0000000055d20a64 4010000000000000 3f800000 40000000 3f800000 02")
 
@@ -80,9 +80,9 @@
 def event(data: bytes) -> api.Event:
     code, _ = adapter.RECORD_HEADER.unpack_from(data)
     reader = adapter.Reader(data[adapter.RECORD_HEADER.size + 4:], "here")
-    made = adapter.EVENTS[code](reader)
+    decoded = adapter.EVENTS[code](reader)
     reader.finish()
-    return made
+    return decoded
 
 
 @pytest.mark.parametrize("text, expected", [
@@ -105,15 +105,15 @@
      api.Roster(api.RosterKind.CHANGES, 41,
                 [api.BackendEntry(BACKEND, api.BackendState.DRAINING, 6.1, 1, 7, 1, 1.5)])),
 ])
-def test_events_from_bytes(text, expected):
-    made = event(bytes.fromhex(text))
-    if hasattr(made, "latency"):
-        assert made.latency == pytest.approx(expected.latency, rel=0.01)
-        made.latency = expected.latency
-    if hasattr(made, "time_left"):
-        assert made.time_left == pytest.approx(expected.time_left, rel=0.01)
-        made.time_left = expected.time_left
-    assert made == expected
+def test_events_are_decoded(text, expected):
+    decoded = event(bytes.fromhex(text))
+    if hasattr(decoded, "latency"):
+        assert decoded.latency == pytest.approx(expected.latency, rel=0.01)
+        decoded.latency = expected.latency
+    if hasattr(decoded, "time_left"):
+        assert decoded.time_left == pytest.approx(expected.time_left, rel=0.01)
+        decoded.time_left = expected.time_left
+    assert decoded == expected
 
 
 @pytest.mark.parametrize("action, text", [
@@ -130,7 +130,7 @@
     (api.FetchRoster(), "78 00000004 00000003"),
     (api.Count(9041552, 4.0, 3.0), "82 00000018 00000003 000000000089f690 40800000 4008000000000000"),
 ])
-def test_actions_to_bytes(action, text):
+def test_actions_are_encoded(action, text):
     assert adapter.encode(3, *adapter.ACTIONS[type(action)](action)) == bytes.fromhex(text)
 
 
@@ -141,14 +141,14 @@
     assert from_lines(ENV + "grades.0.aim_stretch=1.5\n").classes[0].aim_stretch == 1.5
 
 
-def test_process_sends_a_request_on_and_stops_with_its_input():
-    done = run(batch() + batch(spawn(), roster()) + batch(knock()))
+def test_process_forwards_a_request_and_ends_with_its_input():
+    done = run(batch() + batch(spawn(), roster()) + batch(raw_request()))
     assert done.returncode == 0 and done.stderr == b""
     assert done.stdout.startswith(bytes(8))
     assert b"\x0a\x00\x00\x00\x16\x00\x00\x00\x03\x5d\x3a\x91\xc4" + BACKEND in done.stdout
 
 
-def test_stop_and_start_in_one_batch_begin_from_nothing():
+def test_stop_and_start_in_one_batch_create_a_new_instance():
     host = adapter.Host()
     host.batch(*take(batch(spawn(), roster())), 0)
     first = host.instances[3]
@@ -166,8 +166,8 @@
     return frame[adapter.BATCH_HEADER.size:], count, now
 
 
-def test_frames_are_read_whole_however_they_are_chopped():
-    class Drip:
+def test_frames_are_reassembled_from_partial_reads():
+    class SlowStream:
         def __init__(self, data):
             self.data = data
 
@@ -175,7 +175,7 @@
             part, self.data = self.data[:min(3, size)], self.data[min(3, size):]
             return part
 
-    assert adapter.read_exactly(Drip(b"0123456789"), 8) == b"01234567"
+    assert adapter.read_exactly(SlowStream(b"0123456789"), 8) == b"01234567"
 
 
 @pytest.mark.parametrize("data, says", [
@@ -200,14 +200,14 @@
     (batch(spawn(ENV.replace("quota_rate=4.0", "quota_rate=-4.0"))), "plans[0].rate: -4.0 is not a finite"),
     (batch(spawn(ENV.replace("grades.count=1", "grades.count=0"))), "classes: at least one is required"),
 ])
-def test_bad_input_ends_with_one_plain_line(data, says):
+def test_invalid_input_ends_the_process_with_a_one_line_message(data, says):
     done = run(data)
     lines = done.stderr.decode().splitlines()
     assert done.returncode == 1 and len(lines) == 1 and says in lines[0]
     assert "Traceback" not in lines[0]
 
 
-def test_exception_in_the_decisions_is_declared(monkeypatch):
+def test_exception_in_the_decision_module_is_reported(monkeypatch):
     host = adapter.Host()
     host.batch(*take(batch(spawn())), 0)
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -1,4 +1,4 @@
-"""The design's mechanism: the fit, the regions and the order of cuts, deciding afresh, room given back."""
+"""Overload regulation: latency fit, regions and order of cuts, outdated decisions, return of capacity."""
 
 import pytest
 from conftest import HARD, SOFT, World, make_settings
@@ -22,12 +22,12 @@
     fit = fit_of(*LINE, memory=1.0)
     # means 2.5 and 4, sum of squares about the mean 5, of products 7: slope 1.4, intercept 0.5
     assert fit.predict(0.0)[0] == pytest.approx(0.5)
-    # residues 0.1, -0.3, 0.3, -0.1: their squares add to 0.2, S = sqrt(0.2 / 2)
+    # residuals 0.1, -0.3, 0.3, -0.1: their squares add to 0.2, S = sqrt(0.2 / 2)
     # S_p at 5 = sqrt(0.1 * (1 + 1/4 + 2.5**2 / 5)) = sqrt(0.25)
     assert fit.predict(5.0) == (pytest.approx(7.5), pytest.approx(2.0))
 
 
-def test_confidence_is_less_far_from_what_was_seen():
+def test_confidence_falls_with_the_distance_from_the_data():
     fit = fit_of(*LINE)
     assert fit.predict(2.5)[1] > fit.predict(6.0)[1] > fit.predict(20.0)[1] > 0.0
 
@@ -38,7 +38,7 @@
 
 
 def customer(world: World, key: int, plan: int, rate: float, ratio: float, worth: float):
-    """A customer as the end of a period finds it."""
+    """A customer with these values at the end of a period."""
     world.ask(plan=plan, customer=key)
     c = world.control.customers[key]
     world.control.regulation.active[key] = c
@@ -47,8 +47,8 @@
 
 
 @pytest.fixture
-def quiet() -> World:
-    return World(make_settings())  # without a backend: nothing but the regulator changes anything
+def idle() -> World:
+    return World(make_settings())  # without backends only the regulation changes state
 
 
 def regulate(world: World) -> None:
@@ -59,106 +59,106 @@
     return [c.key for c, _ in world.control.regulation.cut.takes]
 
 
-def test_nobody_is_cut_while_nobody_fails(quiet):
-    customer(quiet, 1, SOFT, rate=50.0, ratio=0.5, worth=1.0)
-    customer(quiet, 2, HARD, rate=50.0, ratio=2.0, worth=1.0)  # exceeded: over quota and late
-    regulate(quiet)
-    assert quiet.control.regulation.cut is None
-
-
-def test_candidates_go_lucky_exceeded_by_least_worth_and_meet_stays(quiet):
-    customer(quiet, 1, HARD, rate=1.0, ratio=2.0, worth=1.0)    # failed
-    customer(quiet, 2, SOFT, rate=5.0, ratio=0.5, worth=4.0)    # lucky, dear
-    customer(quiet, 3, SOFT, rate=4.0, ratio=0.5, worth=2.0)    # lucky, cheap
-    customer(quiet, 4, HARD, rate=3.0, ratio=2.0, worth=1.0)    # exceeded
-    customer(quiet, 5, HARD, rate=1.9, ratio=0.5, worth=0.1)    # meet
-    customer(quiet, 6, HARD, rate=200.0, ratio=2.0, worth=9.0)  # exceeded: makes the step large
-    regulate(quiet)
-    assert cut_keys(quiet) == [3, 2, 4, 6]
-
-
-def test_meet_is_cut_only_while_customers_of_several_plans_miss_their_aim(quiet):
-    customer(quiet, 1, HARD, rate=1.0, ratio=2.0, worth=1.0)
-    meet = customer(quiet, 5, HARD, rate=1.9, ratio=0.5, worth=0.1)
-    regulate(quiet)
-    assert cut_keys(quiet) == [] and meet.cap is None
-    quiet.control.regulation.cut = None
-    customer(quiet, 2, SOFT, rate=1.0, ratio=2.0, worth=2.0)
-    customer(quiet, 1, HARD, rate=1.0, ratio=2.0, worth=1.0)
-    customer(quiet, 5, HARD, rate=1.9, ratio=0.5, worth=0.1)
-    regulate(quiet)
-    assert cut_keys(quiet) == [5] and meet.cap < 1.9
-
-
-def test_a_step_takes_its_share_of_the_rate(quiet):
-    customer(quiet, 1, HARD, rate=10.0 / 6, ratio=2.0, worth=1.0)
-    lucky = customer(quiet, 2, SOFT, rate=50.0 / 6, ratio=0.5, worth=2.0)
-    total = 10.0  # units a second
-    regulate(quiet)
-    assert quiet.control.regulation.cut.takes[0][1] == pytest.approx(regulation.STEP * total)
+def test_no_customer_is_cut_while_none_fails(idle):
+    customer(idle, 1, SOFT, rate=50.0, ratio=0.5, worth=1.0)
+    customer(idle, 2, HARD, rate=50.0, ratio=2.0, worth=1.0)  # exceeded: over quota and late
+    regulate(idle)
+    assert idle.control.regulation.cut is None
+
+
+def test_cuts_take_lucky_then_exceeded_by_least_worth_and_not_meet(idle):
+    customer(idle, 1, HARD, rate=1.0, ratio=2.0, worth=1.0)    # failed
+    customer(idle, 2, SOFT, rate=5.0, ratio=0.5, worth=4.0)    # lucky, of more worth
+    customer(idle, 3, SOFT, rate=4.0, ratio=0.5, worth=2.0)    # lucky, of less worth
+    customer(idle, 4, HARD, rate=3.0, ratio=2.0, worth=1.0)    # exceeded
+    customer(idle, 5, HARD, rate=1.9, ratio=0.5, worth=0.1)    # meet
+    customer(idle, 6, HARD, rate=200.0, ratio=2.0, worth=9.0)  # exceeded: makes the step large
+    regulate(idle)
+    assert cut_keys(idle) == [3, 2, 4, 6]
+
+
+def test_meet_is_cut_only_while_customers_of_several_plans_miss_their_aim(idle):
+    customer(idle, 1, HARD, rate=1.0, ratio=2.0, worth=1.0)
+    meet = customer(idle, 5, HARD, rate=1.9, ratio=0.5, worth=0.1)
+    regulate(idle)
+    assert cut_keys(idle) == [] and meet.cap is None
+    idle.control.regulation.cut = None
+    customer(idle, 2, SOFT, rate=1.0, ratio=2.0, worth=2.0)
+    customer(idle, 1, HARD, rate=1.0, ratio=2.0, worth=1.0)
+    customer(idle, 5, HARD, rate=1.9, ratio=0.5, worth=0.1)
+    regulate(idle)
+    assert cut_keys(idle) == [5] and meet.cap < 1.9
+
+
+def test_a_step_takes_its_share_of_the_rate(idle):
+    customer(idle, 1, HARD, rate=10.0 / 6, ratio=2.0, worth=1.0)
+    lucky = customer(idle, 2, SOFT, rate=50.0 / 6, ratio=0.5, worth=2.0)
+    total = 10.0  # units per second
+    regulate(idle)
+    assert idle.control.regulation.cut.takes[0][1] == pytest.approx(regulation.STEP * total)
     assert lucky.cap == pytest.approx(lucky.rate - regulation.STEP * total)
 
 
-def test_steps_scale_with_confidence(quiet):
+def test_steps_scale_with_confidence(idle):
     for i in range(40):
-        quiet.control.regulation.fit.add(10.0 + i % 5, 0.2 + 0.01 * (i % 5), regulation.FIT_MEMORY)  # a sharp fit
-    quiet.control.regulation.work = 12.0 * regulation.PERIOD_S
-    customer(quiet, 1, HARD, rate=10.0 / 6, ratio=2.0, worth=1.0)
-    customer(quiet, 2, SOFT, rate=50.0 / 6, ratio=0.5, worth=2.0)
-    regulate(quiet)
-    assert quiet.control.regulation.cut.takes[0][1] == pytest.approx(regulation.FULL_STEP * regulation.STEP * 10.0)
+        idle.control.regulation.fit.add(10.0 + i % 5, 0.2 + 0.01 * (i % 5), regulation.FIT_MEMORY)  # a precise fit
+    idle.control.regulation.work = 12.0 * regulation.PERIOD_S
+    customer(idle, 1, HARD, rate=10.0 / 6, ratio=2.0, worth=1.0)
+    customer(idle, 2, SOFT, rate=50.0 / 6, ratio=0.5, worth=2.0)
+    regulate(idle)
+    assert idle.control.regulation.cut.takes[0][1] == pytest.approx(regulation.FULL_STEP * regulation.STEP * 10.0)
 
 
 def regions_of(world: World, **groups):
     return {"lucky": [], "exceeded": [], "meet": [], "failed": [], **groups}
 
 
-def test_reasons_to_decide_afresh(quiet):
-    c = customer(quiet, 1, SOFT, rate=2.0, ratio=0.5, worth=1.0)
+def test_reasons_that_outdate_a_decision(idle):
+    c = customer(idle, 1, SOFT, rate=2.0, ratio=0.5, worth=1.0)
     made = Cut([], worst=1.5, rates={1: 2.0}, lucky={1}, predicted=0.5)
-    quiet.control.regulation.cut = made
-    afresh = quiet.control.regulation.is_outdated
-    steady = regions_of(quiet, lucky=[c])
+    idle.control.regulation.cut = made
+    afresh = idle.control.regulation.is_outdated
+    steady = regions_of(idle, lucky=[c])
     assert not afresh(steady, worst=1.4, latency=0.5)
-    assert afresh(steady, worst=1.6, latency=0.5)          # the failing latency rose
+    assert afresh(steady, worst=1.6, latency=0.5)          # the latency of the failing customer rose
     made.lucky.clear()
-    assert afresh(steady, worst=1.4, latency=0.5)          # a candidate turned lucky
+    assert afresh(steady, worst=1.4, latency=0.5)          # another customer became lucky
     made.lucky.add(1)
     c.rate = 4.2
     assert afresh(steady, worst=1.4, latency=0.5)          # a rate doubled
     c.rate = 2.0
-    assert afresh(steady, worst=1.4, latency=1.2)          # seen latency is twice the predicted
+    assert afresh(steady, worst=1.4, latency=1.2)          # the measured latency is twice the predicted one
 
 
-def test_decision_stands_for_m_steps(quiet):
+def test_decision_holds_for_m_steps(idle):
     first = None
     for step in range(regulation.STEPS):
-        customer(quiet, 1, HARD, rate=1.0, ratio=2.0 + step, worth=1.0)
-        customer(quiet, 2, SOFT, rate=5.0, ratio=0.5, worth=2.0)
-        regulate(quiet)
-        first = first or quiet.control.regulation.cut
+        customer(idle, 1, HARD, rate=1.0, ratio=2.0 + step, worth=1.0)
+        customer(idle, 2, SOFT, rate=5.0, ratio=0.5, worth=2.0)
+        regulate(idle)
+        first = first or idle.control.regulation.cut
         if step < regulation.STEPS - 1:
-            assert quiet.control.regulation.cut is first
-    customer(quiet, 1, HARD, rate=1.0, ratio=9.0, worth=1.0)
-    regulate(quiet)
-    assert quiet.control.regulation.cut is not first
+            assert idle.control.regulation.cut is first
+    customer(idle, 1, HARD, rate=1.0, ratio=9.0, worth=1.0)
+    regulate(idle)
+    assert idle.control.regulation.cut is not first
 
 
-def test_room_goes_back_by_worth_and_not_below_the_average(quiet):
-    dear = customer(quiet, 1, SOFT, rate=0.5, ratio=0.5, worth=4.0)
-    cheap = customer(quiet, 2, HARD, rate=1.5, ratio=0.5, worth=1.0)
+def test_capacity_is_returned_by_worth_and_caps_stay_above_the_average_rate(idle):
+    dear = customer(idle, 1, SOFT, rate=0.5, ratio=0.5, worth=4.0)
+    cheap = customer(idle, 2, HARD, rate=1.5, ratio=0.5, worth=1.0)
     dear.cap, cheap.cap = 0.1, 0.1
-    regulate(quiet)
+    regulate(idle)
     assert dear.cap > dear.rate and cheap.cap >= cheap.rate
     for _ in range(40):
-        regulate(quiet)
-    assert dear.cap is None and cheap.cap is None  # both back at their slices
+        regulate(idle)
+    assert dear.cap is None and cheap.cap is None  # both are back at their shares
 
 
-def test_cut_customer_recovers_within_seconds_once_nobody_fails(quiet):
-    """A crushed rate must not set the pace of its own recovery (incident i82d844)."""
-    c = customer(quiet, 1, HARD, rate=0.0, ratio=0.5, worth=1.0)
+def test_cut_customer_recovers_within_seconds_once_none_fails(idle):
+    """The pace of recovery must not depend on the rate that a cut has reduced to zero (incident i82d844)."""
+    c = customer(idle, 1, HARD, rate=0.0, ratio=0.5, worth=1.0)
     c.cap = 0.0
     for _ in range(int(10.0 / regulation.PERIOD_S)):
-        regulate(quiet)
+        regulate(idle)
     assert c.cap is None
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""The library as a new user meets it: the README's example, and settings that can't work."""
+"""The library for a new user: the example in the documentation, invalid settings, the import rules."""
 
 import ast
 import re
@@ -11,16 +11,16 @@
 from fennelpoint import Controller
 from fennelpoint import interface as api
 
-README = Path(__file__).parent.parent / "docs/module.md"
+PAGE = Path(__file__).parent.parent / "docs/module.md"
 
 
-def test_example_of_the_page_runs_as_printed(capsys):
-    text = README.read_text()
+def test_documented_example_prints_the_documented_output(capsys):
+    text = PAGE.read_text()
     (example,) = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     exec(compile(ast.parse(example), "module.md", "exec"), {})
     printed = capsys.readouterr().out.splitlines()
-    (said,) = re.findall(r"second line printed is `(.*)`", text)
-    assert printed[1] == said
+    (expected,) = re.findall(r"second line printed is `(.*)`", text)
+    assert printed[1] == expected
 
 
 READ = api.RequestClass("read", aim=1.0, deadline=4.0, worth=1.0, effect=api.Effect.SAFE)
@@ -37,12 +37,12 @@
     (dict(plans=[api.Plan("basic", price=1.0, rate=-1.0)]), r"plans\[0\].rate"),
     (dict(plans=[api.Plan("basic", price=float("inf"))]), r"plans\[0\].price"),
 ])
-def test_settings_that_cannot_work_are_refused_by_the_name_of_the_field(changes, says):
+def test_invalid_settings_are_rejected_with_the_name_of_the_field(changes, says):
     with pytest.raises(ValueError, match=says):
         make_settings(**changes)
 
 
-def test_instances_share_nothing_and_same_events_give_same_actions():
+def test_instances_are_independent_and_deterministic():
     def run(control: Controller) -> list:
         entries = [api.BackendEntry(f"b{i}", api.BackendState.READY) for i in range(30)]
         out = control.start(0.0) + control.handle(api.Roster(api.RosterKind.FULL, 1, entries), 0.0)
@@ -56,15 +56,15 @@
     assert run(Controller(make_settings(), seed=4, now=0.0)) != run(one)
 
 
-def test_nothing_imports_upward_or_in_a_ring():
-    """The module's files know nothing of the sockets, and no two of them import each other."""
+def test_no_import_goes_upward_or_in_a_cycle():
+    """The decision module does not import the network code, and no two modules import each other."""
     package = Path(__file__).parent.parent / "fennelpoint"
-    asked = {path.relative_to(package).with_suffix("").as_posix().replace("/", "."):
+    imports = {path.relative_to(package).with_suffix("").as_posix().replace("/", "."):
              set(re.findall(r"^from fennelpoint\.([\w.]+) import", path.read_text(), re.M))
              for path in package.rglob("*.py")}
-    rings = [(a, b) for a, known in asked.items() for b in known if a in asked.get(b, ())]
-    assert not rings
+    cycles = [(a, b) for a, known in imports.items() for b in known if a in imports.get(b, ())]
+    assert not cycles
     policy = tomllib.loads((package.parent / "deploy/balancer.toml").read_text())["policy"]
-    pure = [name for name in asked if f"fennelpoint/{name}.py" in policy or name.startswith("cells.")]
+    pure = [name for name in imports if f"fennelpoint/{name}.py" in policy or name.startswith("cells.")]
     assert len(pure) > 10
-    assert [(n, m) for n in pure for m in asked[n] if m.startswith("net.")] == []
+    assert [(n, m) for n in pure for m in imports[n] if m.startswith("net.")] == []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each kept by one ingress alone."""
+"""The five rules, each checked on a single ingress."""
 
 import random
 
@@ -12,14 +12,14 @@
 CHANGES = api.RosterKind.CHANGES
 
 
-def test_held_request_is_answered_in_time_without_any_backend():
+def test_queued_request_is_answered_in_time_without_any_backend():
     world = World(make_settings())
     assert world.ask(left=0.5) == []
     assert kinds(world.wait(0.5)) == [api.Refuse]
     assert not world.control.requests.open
 
 
-def test_attempt_that_times_out_at_the_end_fails_the_unsafe():
+def test_unsafe_request_fails_when_its_attempt_times_out():
     world = World(make_settings())
     world.backends("a")
     world.ask(cls=UNSAFE, left=2.0)
@@ -28,25 +28,25 @@
 
 
 @pytest.mark.parametrize("status", NEVER_RAN)
-def test_unsafe_goes_on_when_it_never_ran(world, status):
+def test_unsafe_request_is_retried_when_it_never_ran(world, status):
     (send,) = world.ask(cls=UNSAFE, left=6.0)
     actions = world.answer(send.request, send.backend, status) + world.wait(0.2)
     assert kinds(actions) == [api.Send] and actions[0].backend != send.backend
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_RUN)
-def test_unsafe_that_may_have_run_fails(world, status):
+def test_unsafe_request_that_may_have_run_fails(world, status):
     (send,) = world.ask(cls=UNSAFE, left=6.0)
     assert kinds(world.answer(send.request, send.backend, status)) == [api.Fail]
 
 
-def test_safe_is_tried_elsewhere_after_an_error(world):
+def test_safe_request_is_retried_on_another_backend_after_an_error(world):
     (send,) = world.ask(cls=SAFE)
     (again,) = world.answer(send.request, send.backend, api.Status.ERROR)
     assert isinstance(again, api.Send) and again.backend != send.backend
 
 
-def test_keyed_stays_in_its_cell_and_window():
+def test_keyed_request_is_retried_in_its_cell_and_window():
     world = World(make_settings())
     world.roster(api.BackendEntry("a", READY, cell=1), api.BackendEntry("b", READY, cell=2),
                  api.BackendEntry("c", READY, cell=1))
@@ -56,13 +56,13 @@
     assert [cells[a.backend] for a in actions if isinstance(a, api.Send)] == [cells[send.backend]]
 
 
-def test_keyed_past_its_window_fails_and_is_not_refused(world):
+def test_keyed_request_past_its_window_fails_and_is_not_refused(world):
     (send,) = world.ask(cls=KEYED, left=6.0)
     world.wait(3.5)
     assert kinds(world.answer(send.request, send.backend, api.Status.RESET, latency=3.5)) == [api.Fail]
 
 
-def test_keyed_held_across_its_window_is_not_sent():
+def test_keyed_request_queued_past_its_window_is_not_sent():
     world = World(make_settings())
     world.backends("a", cell=1)
     (send,) = world.ask(cls=KEYED, left=6.0)
@@ -76,7 +76,7 @@
     assert not world.control.requests.open
 
 
-def test_retry_budget_stops_a_storm():
+def test_retry_budget_stops_a_retry_storm():
     world = World(make_settings())
     world.backends(*(f"s{i:02}" for i in range(40)))
     further = 0
@@ -89,7 +89,7 @@
     assert 5 <= further <= 25
 
 
-def test_drained_backend_gets_nothing_not_even_held_work():
+def test_draining_backend_gets_no_requests_not_even_queued_ones():
     world = World(make_settings())
     world.backends("a")
     (send,) = world.ask(cls=SAFE)
@@ -105,7 +105,7 @@
         assert all(a.backend == "b" for a in world.ask(customer=customer) if isinstance(a, api.Send))
 
 
-def test_roster_that_empties_holds_then_refuses_and_work_goes_on_after(world):
+def test_empty_roster_queues_then_refuses_and_service_resumes_after(world):
     world.roster()
     world.ask()
     assert kinds(world.wait(4.0)) == [api.Refuse]
@@ -123,12 +123,12 @@
     return cold
 
 
-def test_cold_backend_gets_its_share_of_a_warm_one():
+def test_cold_backend_gets_its_part_of_a_warm_ones_load():
     world = World(make_settings())
     world.backends("w1", "w2", "w3")
-    sends_to_cold(world, 4.0, 30)  # learns what a warm backend is sent
+    sends_to_cold(world, 4.0, 30)  # learns the load of a warm backend
     world.roster(api.BackendEntry("cold", READY, started_at=world.now), kind=CHANGES)
-    # a warm backend gets ten a second; the cold one can do a fifth and grows to 0.36 of that in two seconds
+    # a warm backend gets ten requests per second; the cold one takes 0.2 of that at first, 0.36 after two seconds
     assert sends_to_cold(world, 2.0, 30) <= 2.0 * 10 * 0.36 + 1
 
 
@@ -143,19 +143,19 @@
 
 
 @pytest.mark.parametrize("cold", [10, 37, 99])
-def test_cold_backends_are_not_pushed_over_by_all_ingresses_together(cold):
-    """A sum over ingresses: part of the fleet, or nearly all of it, starts at once; each sends one try."""
+def test_all_ingresses_together_do_not_overload_cold_backends(cold):
+    """The sum over all ingresses, each with one request, when a part or nearly all of the backends start at once."""
     entries = [api.BackendEntry(f"b{i:02}", READY, started_at=100.0 if i < cold else 0.0) for i in range(100)]
     worlds, sent = fleet_of_ingresses(400, *entries), 0
     for world in worlds:
         sent += sum(isinstance(a, api.Send) and int(a.backend[1:]) < cold for a in world.ask())
-    # a fifth of their share of the work is what they can do now, twice that is the rule; chance on top
+    # cold backends can take a fifth of their share of the work now; the rest allows for random variation
     fair = len(worlds) * cold / len(entries)
     assert 0 < sent <= world.settings.cold_share * fair + 3 * fair ** 0.5
 
 
-def test_cold_backends_are_sent_about_what_they_can_do():
-    """Half of a fleet that starts anew: left nearly idle, its load pushes the warm half over its end."""
+def test_cold_backends_get_about_the_load_that_they_can_take():
+    """If a restarted half of the fleet were left nearly idle, its load would overload the warm half."""
     entries = [api.BackendEntry(f"b{i:02}", READY, started_at=100.0 if i < 50 else 0.0) for i in range(100)]
     worlds = fleet_of_ingresses(800, *entries)
     sent = sum(isinstance(a, api.Send) and int(a.backend[1:]) < 50 for world in worlds for a in world.ask())
@@ -163,8 +163,8 @@
     assert 0.75 * worlds[0].settings.cold_share * fair <= sent <= 1.25 * worlds[0].settings.cold_share * fair
 
 
-def test_waiting_tries_do_not_draw_cold_backends_again_and_again():
-    """With nothing warm, a line of waiting tries looked at every 20 ms must not win every draw at last."""
+def test_queued_requests_do_not_repeat_the_draw_for_cold_backends():
+    """Without warm backends, queued requests that are checked every 20 ms must not win a draw in the end each."""
     entries = [api.BackendEntry(f"b{i}", READY, started_at=100.0) for i in range(30)]
     worlds, sent = fleet_of_ingresses(300, *entries), 0
     for world in worlds:
@@ -179,15 +179,15 @@
     assert {a.backend for a in actions if isinstance(a, api.Send)} == {"a", "b"}
 
 
-def test_held_try_is_ended_before_its_client_leaves_though_its_counter_call_is_out():
-    """Time left under the counter's time-out: the fall-back timer would have come too late."""
+def test_queued_request_is_ended_before_its_client_leaves_despite_a_pending_counter_call():
+    """With less time left than the counter's time-out, the fall-back timer would fire too late."""
     world = World(make_settings(ingresses=200))
     world.backends("a")
     assert world.ask(width=200.0, left=0.07) == []
     assert kinds(world.wait(0.07)) in ([api.Refuse], [api.Send])
 
 
-def test_restart_listed_with_a_new_start_keeps_what_is_out_and_answers_count(world):
+def test_restarted_backend_keeps_attempts_in_flight_and_their_answers_count(world):
     (send,) = world.ask()
     world.roster(api.BackendEntry(send.backend, READY, started_at=world.now), kind=CHANGES)
     assert world.control.fleet.in_flight == 1
@@ -195,7 +195,7 @@
     assert world.control.fleet.in_flight == 0 and not world.control.fleet.busy and not world.control.requests.open
 
 
-def test_answers_of_a_backend_that_is_gone_are_taken(world):
+def test_answers_of_a_removed_backend_are_processed(world):
     (send,) = world.ask(cls=UNSAFE)
     world.roster(api.BackendEntry(send.backend, GONE), kind=CHANGES)
     assert kinds(world.answer(send.request, send.backend, api.Status.RESET)) == [api.Fail]
@@ -203,7 +203,7 @@
     assert send.backend not in world.control.fleet.backends
 
 
-def test_nothing_is_due_when_nothing_is_going_on(world):
+def test_no_timer_is_set_while_idle(world):
     (send,) = world.ask()
     world.answer(send.request, send.backend)
     world.wait(20.0)
@@ -212,7 +212,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_invariants_under_random_events(seed):
-    """Seeded random traffic and failures: one answer in time, effects, drains and ceilings hold."""
+    """Seeded random traffic and failures: one answer in time; effects, drains and ceilings are respected."""
     rng = random.Random(seed)
     world = World(make_settings())
     names = [f"b{i}" for i in range(5)]
@@ -272,7 +272,7 @@
             for request in sorted(late):
                 backend, sent = out.pop(request)
                 ran.setdefault(request, (sent, backend))
-                asked[request] = (*asked[request][:-1], world.now)  # the time-out comes with the deadline
+                asked[request] = (*asked[request][:-1], world.now)  # the time-out is due at the deadline
                 check(world.answer(request, backend, api.Status.TIMEOUT, world.now - sent, attempts[request]))
             end = world.now + rng.uniform(0.0, 0.2)
             while due := sorted(t for t in world.timers if t[0] <= end):
