--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -56,7 +56,7 @@
 
 
 @dataclass
-class World:
+class Harness:
     """One controller and its simulated clock; `actions` holds its actions for the latest event."""
 
     settings: api.Settings
@@ -70,40 +70,40 @@
         self.control = CelledController(self.settings, seed=7, now=self.now)
         handover.attach(self.control)
         plan_parameters.attach(self.control)
-        self.take(self.control.start(self.now))
+        self._collect(self.control.start(self.now))
 
-    def take(self, actions: list) -> list:
+    def _collect(self, actions: list) -> list:
         self.timers += [(self.now + a.delay, a.token) for a in actions if isinstance(a, api.SetTimer)]
         self.counts += [a for a in actions if isinstance(a, api.Count)]
         self.actions = [a for a in actions if not isinstance(a, api.SetTimer | api.Count)]
         return self.actions
 
-    def give(self, event: api.Event) -> list:
-        return self.take(self.control.handle(event, self.now))
+    def deliver(self, event: api.Event) -> list:
+        return self._collect(self.control.handle(event, self.now))
 
     def roster(self, *entries: api.BackendEntry, kind: api.RosterKind = api.RosterKind.FULL) -> list:
-        return self.give(api.Roster(kind, 1, list(entries)))
+        return self.deliver(api.Roster(kind, 1, list(entries)))
 
     def backends(self, *names: str, **values) -> list:
         return self.roster(*(api.BackendEntry(name, READY, **values) for name in names))
 
-    def ask(self, cls: int = SAFE, plan: int = HARD, customer: int = 1, units: float = 1.0, left: float = 4.0,
+    def request(self, cls: int = SAFE, plan: int = HARD, customer: int = 1, units: float = 1.0, left: float = 4.0,
             width: float = 2.0) -> list:
         self.ids += 1
-        return self.give(api.Request(self.ids, cls, plan, customer, left, units, width, 0.0))
+        return self.deliver(api.Request(self.ids, cls, plan, customer, left, units, width, 0.0))
 
     def answer(self, request: int, backend: str, status: api.Status = api.Status.OK, latency: float = 0.1,
                attempt: int = 0) -> list:
         ended = status is api.Status.OK
-        return self.give(api.Outcome(request, attempt, backend, status, latency, ended))
+        return self.deliver(api.Outcome(request, attempt, backend, status, latency, ended))
 
-    def wait(self, seconds: float) -> list:
+    def advance(self, seconds: float) -> list:
         """Advance the clock and fire the timers that are due; returns the actions."""
         end, out = self.now + seconds, []
         while due := sorted(t for t in self.timers if t[0] <= end):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            out += self.give(api.TimerDue(due[0][1]))
+            out += self.deliver(api.TimerDue(due[0][1]))
         self.now = end
         return out
 
@@ -114,19 +114,19 @@
         for call in calls:
             if totals is not None and status is api.Status.OK:
                 totals[call.name] = totals.get(call.name, 0.0) + call.amount + others
-            self.give(api.CounterReply(call.name, status, (totals or {}).get(call.name, 0.0), 0.001))
+            self.deliver(api.CounterReply(call.name, status, (totals or {}).get(call.name, 0.0), 0.001))
 
 
-def wide(**changes) -> World:
+def many_backends(**changes) -> Harness:
     """A controller with so many backends that only the quota limits it."""
-    made = World(make_settings(**changes))
+    made = Harness(make_settings(**changes))
     made.backends(*(f"s{i:02}" for i in range(40)))
     return made
 
 
 @pytest.fixture
-def world() -> World:
-    made = World(make_settings())
+def harness() -> Harness:
+    made = Harness(make_settings())
     made.backends("a", "b")
     return made
 
--- a/tests/fleet/test_plan_parameters.py
+++ b/tests/fleet/test_plan_parameters.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import CAPPED, HARD, World, make_settings, wide
+from conftest import CAPPED, HARD, Harness, make_settings, many_backends
 
 from fennelpoint import interface as api
 from fennelpoint.fleet import version_contents
@@ -16,57 +16,57 @@
 from fennelpoint.validation_errors import FaultyFile
 
 
-def sent(world: World, count: int, **ask) -> int:
-    return sum(isinstance(a, api.Send) for _ in range(count) for a in world.ask(**ask))
+def sent(harness: Harness, count: int, **ask) -> int:
+    return sum(isinstance(a, api.Send) for _ in range(count) for a in harness.request(**ask))
 
 
 def test_smaller_figures_hold_at_once_and_larger_ones_give_no_more_than_time_does():
-    world = wide(has_counter=False)
-    plans = list(world.settings.plans)
-    assert sent(world, 1, plan=HARD) == 1
+    harness = many_backends(has_counter=False)
+    plans = list(harness.settings.plans)
+    assert sent(harness, 1, plan=HARD) == 1
     smaller = [replace(plan, rate=1.0, burst=2.0) if i == HARD else plan for i, plan in enumerate(plans)]
-    world.give(api.PlansChanged(smaller, 1, True))
-    assert sent(world, 6, plan=HARD) <= 2
-    world.give(api.PlansChanged(plans, 2, False))
-    assert sent(world, 6, plan=HARD) == 0
-    world.wait(1.0)
-    assert 1 <= sent(world, 6, plan=HARD) <= 3     # rate 4 over two ingresses, for a second
+    harness.deliver(api.PlansChanged(smaller, 1, True))
+    assert sent(harness, 6, plan=HARD) <= 2
+    harness.deliver(api.PlansChanged(plans, 2, False))
+    assert sent(harness, 6, plan=HARD) == 0
+    harness.advance(1.0)
+    assert 1 <= sent(harness, 6, plan=HARD) <= 3     # rate 4 over two ingresses, for a second
 
 
 def test_no_word_of_the_counter_counts_while_figures_are_mixed_and_its_stores_are_kept_apart():
-    world = World(make_settings(ingresses=40, most_units=1.0))
-    world.backends(*(f"s{i}" for i in range(40)))
-    world.ask(plan=CAPPED, width=40.0)
-    (before,) = {call.name for call in world.counts}
-    world.count_replies(totals={})
-    world.counts.clear()
-    world.give(api.PlansChanged(list(world.settings.plans), 7, True))
-    world.ask(plan=CAPPED, width=40.0)
-    assert not [call for call in world.counts if call.amount > 0.5]
-    world.give(api.PlansChanged(list(world.settings.plans), 7, False))
-    world.ask(plan=CAPPED, width=40.0)
-    assert before not in {call.name for call in world.counts} and world.counts
+    harness = Harness(make_settings(ingresses=40, most_units=1.0))
+    harness.backends(*(f"s{i}" for i in range(40)))
+    harness.request(plan=CAPPED, width=40.0)
+    (before,) = {call.name for call in harness.counts}
+    harness.count_replies(totals={})
+    harness.counts.clear()
+    harness.deliver(api.PlansChanged(list(harness.settings.plans), 7, True))
+    harness.request(plan=CAPPED, width=40.0)
+    assert not [call for call in harness.counts if call.amount > 0.5]
+    harness.deliver(api.PlansChanged(list(harness.settings.plans), 7, False))
+    harness.request(plan=CAPPED, width=40.0)
+    assert before not in {call.name for call in harness.counts} and harness.counts
 
 
 def test_what_waits_is_answered_at_once_when_nothing_may_be_sent_and_nothing_is_until_then():
-    world = World(make_settings())
-    assert world.ask() == []       # no backend: it waits
-    (refusal,) = world.give(api.Barred(True))
+    harness = Harness(make_settings())
+    assert harness.request() == []       # no backend: it waits
+    (refusal,) = harness.deliver(api.Barred(True))
     assert isinstance(refusal, api.Refuse) and refusal.retry_after > 0.0
-    world.backends("a", "b")
-    (refusal,) = world.ask()
+    harness.backends("a", "b")
+    (refusal,) = harness.request()
     assert isinstance(refusal, api.Refuse) and refusal.retry_after > 0.0
-    assert world.wait(1.0) == []
-    world.give(api.Barred(False))
-    assert any(isinstance(a, api.Send) for a in world.ask())
+    assert harness.advance(1.0) == []
+    harness.deliver(api.Barred(False))
+    assert any(isinstance(a, api.Send) for a in harness.request())
 
 
 def test_an_attempt_that_fails_while_barred_is_not_tried_again():
-    world = World(make_settings())
-    world.backends("a", "b")
-    (send,) = [a for a in world.ask() if isinstance(a, api.Send)]
-    world.give(api.Barred(True))
-    actions = world.answer(send.request, send.backend, api.Status.CONNECT_FAILED)
+    harness = Harness(make_settings())
+    harness.backends("a", "b")
+    (send,) = [a for a in harness.request() if isinstance(a, api.Send)]
+    harness.deliver(api.Barred(True))
+    actions = harness.answer(send.request, send.backend, api.Status.CONNECT_FAILED)
     assert [type(a) for a in actions] == [api.Refuse]
 
 
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -8,7 +8,7 @@
 import math
 
 import pytest
-from conftest import CAPPED, HARD, World, kinds, make_settings
+from conftest import CAPPED, HARD, Harness, kinds, make_settings
 
 from fennelpoint import Controller, shared_counter
 from fennelpoint import interface as api
@@ -109,53 +109,53 @@
 # What can't be believed
 
 
-def capped(**changes) -> World:
-    world = World(make_settings(ingresses=INGRESSES, **changes))
-    world.backends(*(f"s{i:02}" for i in range(40)))
-    return world
+def capped(**changes) -> Harness:
+    harness = Harness(make_settings(ingresses=INGRESSES, **changes))
+    harness.backends(*(f"s{i:02}" for i in range(40)))
+    return harness
 
 
 def test_part_is_that_of_the_largest_set_that_was_named():
-    world = capped(me=1)
+    harness = capped(me=1)
     for width in (2.0, 10.0, 2.0):
-        world.ask(plan=CAPPED, width=width)
-    assert world.control.customers[1].width == 10.0
+        harness.request(plan=CAPPED, width=width)
+    assert harness.control.customers[1].width == 10.0
 
 
 def test_who_is_not_of_the_set_named_takes_the_least_part():
-    world = capped(me=20)
-    world.ask(plan=CAPPED, width=3.0)
-    assert world.control.customers[1].width == INGRESSES
+    harness = capped(me=20)
+    harness.request(plan=CAPPED, width=3.0)
+    assert harness.control.customers[1].width == INGRESSES
 
 
 @pytest.mark.parametrize("plans", [(HARD, CAPPED), (CAPPED, HARD)])
 def test_customer_named_under_two_plans_is_held_to_the_ceiling(plans):
     """The counter is silent, so that only its own part counts."""
-    world, sent, plan = capped(has_counter=False), 0.0, make_settings().plans[CAPPED]
+    harness, sent, plan = capped(has_counter=False), 0.0, make_settings().plans[CAPPED]
     for step in range(200):
-        actions = world.ask(plan=plans[step % 2], width=2.0, left=0.2) + world.wait(0.02)
+        actions = harness.request(plan=plans[step % 2], width=2.0, left=0.2) + harness.advance(0.02)
         sent += kinds(actions).count(api.Send)
         for a in actions:
             if isinstance(a, api.Send):
-                world.answer(a.request, a.backend)
+                harness.answer(a.request, a.backend)
     assert 1.0 <= sent <= (plan.ceiling_burst + plan.ceiling_rate * 4.0) / 2.0 + 1.0
 
 
 @pytest.mark.parametrize("total", [math.nan, math.inf, -math.inf, -1e9, 1e9, 0.0, -3.0])
 def test_no_reply_of_the_counter_lets_more_in_than_the_own_part(total):
     """Whatever number it gives to every call: no try is let in by its word."""
-    world = capped()
+    harness = capped()
     for _ in range(40):
-        world.ask(plan=CAPPED, width=float(INGRESSES))
+        harness.request(plan=CAPPED, width=float(INGRESSES))
         for _ in range(4):
-            calls, world.counts = world.counts, []
+            calls, harness.counts = harness.counts, []
             for call in calls:
-                world.give(api.CounterReply(call.name, api.Status.OK, total, 0.002))
-    assert not any(t.is_counted for b in world.control.fleet.busy.values() for *_, t in b.in_flight.values())
+                harness.deliver(api.CounterReply(call.name, api.Status.OK, total, 0.002))
+    assert not any(t.is_counted for b in harness.control.fleet.busy.values() for *_, t in b.in_flight.values())
 
 
 def test_reply_for_a_name_that_was_not_asked_is_nothing():
-    world = capped()
-    name, base = name_of(1, world.now)[0], base_of(make_settings().plans[CAPPED], 0.0)
-    assert world.give(api.CounterReply(name, api.Status.OK, base, 0.002)) == []
-    assert not world.control.customers
+    harness = capped()
+    name, base = name_of(1, harness.now)[0], base_of(make_settings().plans[CAPPED], 0.0)
+    assert harness.deliver(api.CounterReply(name, api.Status.OK, base, 0.002)) == []
+    assert not harness.control.customers
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -1,7 +1,7 @@
 """Overload regulation: latency fit, regions and order of cuts, outdated decisions, return of capacity."""
 
 import pytest
-from conftest import HARD, SOFT, World, make_settings
+from conftest import HARD, SOFT, Harness, make_settings
 
 from fennelpoint import regulation
 from fennelpoint.regulation import LatencyFit
@@ -37,26 +37,26 @@
     assert LatencyFit().predict(1.0) == (0.0, 0.0)
 
 
-def customer(world: World, key: int, plan: int, rate: float, ratio: float, worth: float):
+def customer(harness: Harness, key: int, plan: int, rate: float, ratio: float, worth: float):
     """A customer with these values at the end of a period."""
-    world.ask(plan=plan, customer=key)
-    c = world.control.customers[key]
-    world.control.regulation.active[key] = c
+    harness.request(plan=plan, customer=key)
+    c = harness.control.customers[key]
+    harness.control.regulation.active[key] = c
     c.rate, c.sent_units, c.ratio, c.ratios, c.worth = rate, rate * regulation.PERIOD_S, ratio, [ratio], worth
     return c
 
 
 @pytest.fixture
-def idle() -> World:
-    return World(make_settings())  # without backends only the regulation changes state
+def idle() -> Harness:
+    return Harness(make_settings())  # without backends only the regulation changes state
 
 
-def regulate(world: World) -> None:
-    world.control.regulation.regulate(world.now, regulation.PERIOD_S)
+def regulate(harness: Harness) -> None:
+    harness.control.regulation.regulate(harness.now, regulation.PERIOD_S)
 
 
-def cut_keys(world: World) -> list[int]:
-    return [c.key for c, _ in world.control.regulation.cut.takes]
+def cut_keys(harness: Harness) -> list[int]:
+    return [c.key for c, _ in harness.control.regulation.cut.takes]
 
 
 def test_no_customer_is_cut_while_none_fails(idle):
@@ -109,7 +109,7 @@
     assert idle.control.regulation.cut.takes[0][1] == pytest.approx(regulation.FULL_STEP * regulation.STEP * 10.0)
 
 
-def regions_of(world: World, **groups):
+def regions_of(harness: Harness, **groups):
     return {"lucky": [], "exceeded": [], "meet": [], "failed": [], **groups}
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from conftest import CAPPED, HARD, READY, UNSAFE, World, make_settings
+from conftest import CAPPED, HARD, READY, UNSAFE, Harness, make_settings
 from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -198,25 +198,25 @@
 # What is told
 
 
-def pair(plan_index: int, units: float = 1.0) -> tuple[World, World]:
+def pair(plan_index: int, units: float = 1.0) -> tuple[Harness, Harness]:
     """An old process that has served, and a new one, both without a counter's answers."""
     made = []
     for _ in range(2):
-        one = World(make_settings())
+        one = Harness(make_settings())
         one.backends(*(f"s{i}" for i in range(40)))
         made.append(one)
     old, new = made
     for _ in range(3):
-        old.ask(UNSAFE, plan_index, customer=9, units=units)
+        old.request(UNSAFE, plan_index, customer=9, units=units)
     return old, new
 
 
-def hand_over(old: World, new: World) -> None:
+def hand_over(old: Harness, new: Harness) -> None:
     new.now = old.now
-    new.give(api.ProcessCount(2))
+    new.deliver(api.ProcessCount(2))
     state = snapshot(old.control, 2)
-    old.give(api.ProcessCount(2))
-    new.give(api.PredecessorState(state))
+    old.deliver(api.ProcessCount(2))
+    new.deliver(api.PredecessorState(state))
 
 
 def test_what_is_told_is_taken_off():
@@ -228,14 +228,14 @@
     assert shares == pytest.approx(0.5)     # of two ingresses
 
 
-def flood(made: World, customer: int, plan_index: int, seconds: float) -> int:
+def flood(made: Harness, customer: int, plan_index: int, seconds: float) -> int:
     """Units sent on of a customer that asks far beyond its quota; each is answered at once."""
     sent, end = set(), made.now + seconds
     while made.now < end:
         actions = []
         for _ in range(3):
-            actions += made.ask(UNSAFE, plan_index, customer=customer, left=6.0)
-        actions += made.wait(0.05)
+            actions += made.request(UNSAFE, plan_index, customer=customer, left=6.0)
+        actions += made.advance(0.05)
         for action in actions:
             if isinstance(action, api.Send) and action.request not in sent:
                 sent.add(action.request)
@@ -263,9 +263,9 @@
     old.control.customers[9].fresh, old.control.customers[9].untold = 2.0, 1.5
     level = old.control.customers[9].level
     state = final_snapshot(old.control)
-    new.give(api.ProcessCount(1))
+    new.deliver(api.ProcessCount(1))
     mine, fresh = new.control.customers[9].level, new.control.customers[9].fresh
-    new.give(api.PredecessorState(state))
+    new.deliver(api.PredecessorState(state))
     c = new.control.customers[9]
     assert c.level == pytest.approx(min(8.0, mine + level)) and c.fresh == fresh + 2.0 and c.untold == 1.5
     assert c.width == 2.0
@@ -285,7 +285,7 @@
 def test_health_waits_for_a_list_that_comes_later():
     old, _ = pair(HARD)
     old.control.fleet.backends["s1"].slow = 5.0
-    new = World(make_settings())
+    new = Harness(make_settings())
     hand_over(old, new)
     new.backends("s1")
     assert new.control.fleet.backends["s1"].slow == 5.0
@@ -294,10 +294,10 @@
 @given(st.dictionaries(st.sampled_from(["customers", "rest", "backends", "typical", "usual", "odds", "crowds",
                                         "asking", "answers"]), JSON, max_size=9))
 def test_a_state_of_any_shape_harms_nothing(state):
-    made = World(make_settings())
-    made.give(api.PredecessorState(state))
+    made = Harness(make_settings())
+    made.deliver(api.PredecessorState(state))
     made.backends("a", "b")
-    assert any(isinstance(a, api.Send | api.Refuse) for a in made.ask() + made.wait(4.0))
+    assert any(isinstance(a, api.Send | api.Refuse) for a in made.request() + made.advance(4.0))
 
 
 ENTRY = {"key": 9, "plan": 0, "width": 2.0, "share": 0.5, "level": 1.0, "ceiling": 0.0}
@@ -307,15 +307,15 @@
     {"key": "9"}, {"plan": 99}, {"plan": True}, {"width": 0.0}, {"share": 2.0}, {"level": None},
     {"store": "x"}, {"ceiling": float("inf")}])
 def test_an_entry_that_makes_no_sense_is_left_out_and_counted(change):
-    made = World(make_settings())
-    actions = made.give(api.PredecessorState({"customers": [ENTRY | change, ENTRY | {"key": 10}]}))
+    made = Harness(make_settings())
+    actions = made.deliver(api.PredecessorState({"customers": [ENTRY | change, ENTRY | {"key": 10}]}))
     assert [type(a) for a in actions] == [api.Log] and actions[0].text.startswith("1 entries")
     assert list(made.control.customers) == [10]
 
 
 def test_more_than_a_burst_is_believed_of_nobody():
-    made = World(make_settings())
-    made.give(api.PredecessorState({"customers": [ENTRY | {"level": 1e9, "ceiling": 1e9}]}))
+    made = Harness(make_settings())
+    made.deliver(api.PredecessorState({"customers": [ENTRY | {"level": 1e9, "ceiling": 1e9}]}))
     assert made.control.customers[9].level == 8.0 and made.control.customers[9].ceiling == 0.0
 
 
@@ -405,75 +405,75 @@
     c = old.control.customers[9]
     c.level, c.fresh = -1.0, 2.0
     state = final_snapshot(old.control)
-    new.give(api.ProcessCount(1))
+    new.deliver(api.ProcessCount(1))
     mine = new.control.customers[9].level
-    new.give(api.PredecessorState(state))
+    new.deliver(api.PredecessorState(state))
     assert new.control.customers[9].level == mine - 1.0 and new.control.customers[9].fresh == 2.0
 
 
 def test_a_word_that_comes_late_leaves_customers_as_they_are_served_here():
     """Taken over what was sent meanwhile, it gave a fresh bucket and lost count of what is out."""
     old, new = pair(HARD)
-    new.give(api.ProcessCount(2))
+    new.deliver(api.ProcessCount(2))
     state = snapshot(old.control, 2)
-    new.ask(UNSAFE, HARD, customer=9)
+    new.request(UNSAFE, HARD, customer=9)
     before = new.control.customers[9]
     level, out = before.level, before.open
     assert out > 0
-    new.give(api.PredecessorState(state))
+    new.deliver(api.PredecessorState(state))
     assert new.control.customers[9] is before and (before.level, before.open) == (level, out)
 
 
 def test_a_drained_ingress_leaves_its_share_to_the_others_and_has_it_again_after():
     """What the fleet sees of a drain: nobody asks there, so the counter's totals give the share away."""
-    worlds, totals = [World(make_settings(me=i)) for i in range(2)], {}
-    for made in worlds:
+    harnesses, totals = [Harness(make_settings(me=i)) for i in range(2)], {}
+    for made in harnesses:
         made.backends(*(f"s{i}" for i in range(40)))
 
-    def ask(made: World) -> None:
-        for action in made.ask(UNSAFE, HARD, customer=9, left=6.0):
+    def ask(made: Harness) -> None:
+        for action in made.request(UNSAFE, HARD, customer=9, left=6.0):
             if isinstance(action, api.Send):
                 made.answer(action.request, action.backend, latency=0.01)
 
-    def seconds(span: float, takes: list[World]) -> None:
+    def seconds(span: float, takes: list[Harness]) -> None:
         for _ in range(int(span / 0.25)):
-            for made in worlds:
+            for made in harnesses:
                 if made in takes:
                     ask(made)
-                made.wait(0.25)
+                made.advance(0.25)
                 made.count_replies(totals=totals)
 
-    seconds(12.0, worlds)
-    assert all(0.25 < made.control.customers[9].share < 0.85 for made in worlds)
-    seconds(12.0, worlds[:1])   # the other is drained: its clients come here
-    assert worlds[0].control.customers[9].share > 0.9
-    seconds(12.0, worlds)       # and is back
-    assert all(0.25 < made.control.customers[9].share < 0.85 for made in worlds)
+    seconds(12.0, harnesses)
+    assert all(0.25 < made.control.customers[9].share < 0.85 for made in harnesses)
+    seconds(12.0, harnesses[:1])   # the other is drained: its clients come here
+    assert harnesses[0].control.customers[9].share > 0.9
+    seconds(12.0, harnesses)       # and is back
+    assert all(0.25 < made.control.customers[9].share < 0.85 for made in harnesses)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_cold_backend_gets_no_more_of_two_processes_than_of_one(seed):
     """Drawn for each try, and the tries of one are divided between two."""
-    def cold_sends(worlds: list[World]) -> tuple[int, int]:
+    def cold_sends(harnesses: list[Harness]) -> tuple[int, int]:
         cold = total = 0
-        for made in worlds:
+        for made in harnesses:
             made.roster(api.BackendEntry("cold", READY, started_at=made.now),
                         *(api.BackendEntry(f"s{i}", READY) for i in range(5)))
         for i in range(600):
-            made = worlds[i % len(worlds)]
-            for action in made.ask(0, 1, customer=i, left=4.0):
+            made = harnesses[i % len(harnesses)]
+            for action in made.request(0, 1, customer=i, left=4.0):
                 if isinstance(action, api.Send):
                     total, cold = total + 1, cold + (action.backend == "cold")
                     made.answer(action.request, action.backend, latency=0.05)
-            for one in worlds:
-                one.wait(0.002)
+            for one in harnesses:
+                one.advance(0.002)
         return cold, total
 
-    one = cold_sends([World(make_settings())])
-    twins = [World(make_settings()) for _ in range(2)]
+    one = cold_sends([Harness(make_settings())])
+    twins = [Harness(make_settings()) for _ in range(2)]
     for i, made in enumerate(twins):
         made.control.random.seed(100 * seed + i)
-        made.give(api.ProcessCount(2))
+        made.deliver(api.ProcessCount(2))
     both = cold_sends(twins)
     assert both[1] > 0.9 * one[1] > 0
     # Its even part would be one in six; at a fifth of its capacity it is drawn a fifth as often.
--- a/tests/xds/test_leases.py
+++ b/tests/xds/test_leases.py
@@ -5,7 +5,7 @@
 from math import inf
 
 import pytest
-from conftest import World, make_settings
+from conftest import Harness, make_settings
 from hypothesis import given
 from hypothesis import settings as profile
 from hypothesis import strategies as st
@@ -314,16 +314,16 @@
     """One ingress, and a bank with two proxies that use leases as they come, over one counter for 60 s."""
     plan = api.Plan("hard", price=1.0, rate=20.0, burst=burst, over_cost=1.0)
     made, totals, step, seconds = make_settings(plans=[plan]), {}, 0.05, 60.0
-    world, shop, where = World(made, now=100.0), Shop(made, 100.0, totals), bucket(plan="hard")
-    world.backends("a", "b")
+    harness, shop, where = Harness(made, now=100.0), Shop(made, 100.0, totals), bucket(plan="hard")
+    harness.backends("a", "b")
     proxies = {1: Tokens(), 2: Tokens()}
     due, told, passed, asked = dict.fromkeys((0, 1, 2), 0.0), {1: [0, 0], 2: [0, 0]}, 0, 0
     shop.opened()
-    world.wait(shop.now - world.now)
+    harness.advance(shop.now - harness.now)
     begun = shop.now
     for i in range(int(seconds / step)):
         shop.to(begun + i * step)
-        world.wait(shop.now - world.now)
+        harness.advance(shop.now - harness.now)
         for who in due:
             due[who] += load * plan.rate / 3 * step
             while due[who] >= 1.0:
@@ -332,12 +332,12 @@
                     passes = proxies[who].use(shop.now)
                     told[who][not passes] += 1
                 else:
-                    sent = [a for a in world.ask(left=0.1) if isinstance(a, api.Send)]
+                    sent = [a for a in harness.request(left=0.1) if isinstance(a, api.Send)]
                     passes = bool(sent)
                     for action in sent:
-                        world.answer(action.request, action.backend, latency=0.02)
+                        harness.answer(action.request, action.backend, latency=0.02)
                 passed += passes
-        world.count_replies(totals=totals)
+        harness.count_replies(totals=totals)
         for who in (1, 2):
             if i % 10 == 5 * (who - 1):
                 shop.report(who, where, *told[who])
