--- a/fennelpoint/bookkeeping.py
+++ b/fennelpoint/bookkeeping.py
@@ -40,7 +40,7 @@
 
 
 class RequestTable:
-    """The open requests, those among them that wait, and the units that each customer has waiting."""
+    """The open requests, those of them that wait, and the waiting units of each customer."""
 
     def __init__(self) -> None:
         self.open: dict[int, PendingRequest] = {}
@@ -86,7 +86,7 @@
 
 
 class Policy:
-    """One concern of the module: its own records, on the context that all share."""
+    """Base of the parts of a controller: access to the context that they share."""
 
     def __init__(self, context: Context) -> None:
         self.context, self.random, self.requests = context, context.random, context.requests
@@ -104,8 +104,8 @@
         self.backends: dict[object, Backend] = {}
         self.ready: list[Backend] = []          # those that accept requests, in the order of this ingress
         self.busy: dict[object, Backend] = {}   # those with attempts in flight
-        self.in_flight = 0                  # attempts in flight at all of them
-        self.probing: dict[object, list[PendingRequest]] = {}  # requests that wait for a backend's own word
+        self.in_flight = 0                      # attempts in flight at all of them
+        self.probing: dict[object, list[PendingRequest]] = {}  # requests that wait for a probe, by backend
 
     def apply_roster(self, roster: api.Roster, random: Random, now: float) -> None:
         """Apply a full list or changes; a backend with a new start time counts as a new one."""
@@ -155,7 +155,7 @@
         return req
 
     def finish_probe(self, backend: object) -> list[PendingRequest]:
-        """The requests for which this was the last probe to be answered."""
+        """Return the requests for which this was the last outstanding probe."""
         waiting = self.probing.pop(backend, ())
         return [r for r in waiting if r.probed and all(b.entry.backend not in self.probing for b in r.probed)]
 
--- a/fennelpoint/quotas.py
+++ b/fennelpoint/quotas.py
@@ -32,7 +32,7 @@
 LOW, CARRY_OVER = 0.5, 0.35  # low grant, of the last one; carried over a read, of the even part of the burst
 REFUSED_NAMES = 1 << 40    # above all keys: key + this is the counter's name for refused units
 DEMAND_HALF_LIFE_S = 2.0    # of demand in a share
-SPARSE_S, SPARSE_MANY_S = 10.0, 1.5  # each request asks if an even share takes longer for one; if many ingresses
+SPARSE_S, SPARSE_MANY_S = 10.0, 1.5  # each request asks if its even share fills slower; many ingresses
 EVEN_ODDS, SLOW_REPLY = 0.5, 0.6  # lower odds: reads first; part of the time-out: a slow reply
 ASK_GAIN, ASK_SLOW, ASK_LOSS, MIN_ASKING = 0.05, 0.9, 0.6, 0.1  # asking share after a quick, slow, lost reply
 ASK_REGAIN = 0.05  # regained per second: with few calls, few replies show that the counter is back
@@ -59,8 +59,8 @@
             width = self.settings.ingresses * self.context.processes
         if (c := self.customers.pop(request.customer, None)) is None:
             c = Customer(request.customer, request.plan, 0.0, 1.0 / width,
-                         max(plan.burst / width, request.units), store=plan.burst, filled_at=now, total_at=now,
-                         count_at=now + self.random.uniform(0.3, 1.0) * COUNT_PERIOD_S)
+                         max(plan.burst / width, request.units), store=plan.burst, filled_at=now,
+                         total_at=now, count_at=now + self.random.uniform(0.3, 1.0) * COUNT_PERIOD_S)
             # This ingress has sent nothing for it since the process started, or since it was evicted.
             self.set_width(c, width)
             c.ceiling = ceiling_part(c, plan)[1] * min(now - self.context.started_at, FORGET_AFTER_S)
@@ -186,13 +186,13 @@
         if self.mixed:  # local shares only: others may use other plan figures for the store
             return False
         self.asking, self.asked_at = min(1.0, self.asking + ASK_REGAIN * (now - self.asked_at)), now
-        odds = self.asking * req.worth * units / self.usual_worth  # the most valuable first
+        chance = self.asking * req.worth * units / self.usual_worth  # the most valuable first
         self.usual_worth += EWMA / 4 * (req.worth * units - self.usual_worth)
         if plan.over_worth > 0.0 >= plan.over_cost and not plan.ceiling_rate and not overloaded:
             req.within_quota = True     # admitted whatever the reply
         elif c.left + plan.rate * (now - c.left_at) < units:  # short even if no other ingress takes any
             req.within_quota = False
-        elif self.asking >= 1.0 or self.random.random() < odds:
+        elif self.asking >= 1.0 or self.random.random() < chance:
             own = units if c.odds >= EVEN_ODDS else shared_counter.READ_MARK_UNITS   # likely short: read
             use, c.untold = self._record_untold(c, now), 0.0
             self._report(c, own + use, now, req=req, own=own, use=use)
@@ -271,8 +271,8 @@
         c.odds += EWMA * (req.is_counted - c.odds)
         self.odds[c.plan][req.request.cls] += EWMA / 2 * (req.is_counted - self.odds[c.plan][req.request.cls])
         c.level = 0.0 if req.within_quota is False else c.level     # used while the counter is silent
-        # Guards against a customer carried out by corrections that met, or by use told late: no true store is
-        # below nothing.  Not under a ceiling: what several put right at once would pass it.
+        # Concurrent corrections or late reports must not lock a customer out: no true store has such a debt.
+        # Not under a ceiling, which several corrections at once would exceed.
         deep = level < -shared_counter.DEEP_DEBT * plan.burst and not plan.ceiling_rate
         if deep and self.random.random() < shared_counter.DEEP_DEBT_FIX_ODDS:
             self._report(c, level, now)
--- a/fennelpoint/regulation.py
+++ b/fennelpoint/regulation.py
@@ -8,9 +8,9 @@
 from fennelpoint.state import Customer, Cut, PendingRequest
 
 STEPS, STEP = 3, 0.05   # the paper's m; part of the rate sent that a constant step takes off
-MOST_CUT, RETURN = 2.0, 2.0  # most steps off a customer at a time; steps returned: nothing idles
-CONFIDENT, FULL_STEP, CHANGE = 2.0, 3.0, 2.0  # trusted 1 / S_p (1 / aims); most steps it gives; the 2x
-FIT_MEMORY, FIT_LEAST = 0.98, 2.0  # weight of the past per period (about 25 s); points that a fit needs
+MAX_CUT_STEPS, RETURN_STEPS = 2.0, 2.0  # most off one customer at a time; returned: nothing idles
+MIN_CONFIDENCE, FULL_STEP, CHANGE_FACTOR = 2.0, 3.0, 2.0  # trusted 1 / S_p (1 / aims); most steps; the 2x
+FIT_MEMORY, FIT_MIN_POINTS = 0.98, 2.0  # weight of the past per period (about 25 s); points that a fit needs
 RATE_MEMORY, IDLE_RATE = 0.7, 0.05  # weight of the past in averages; units per second that count as idle
 REGIONS = (("meet", "failed"), ("lucky", "exceeded"))  # [over quota][over aim]
 
@@ -32,7 +32,7 @@
         mean, spread = self.x / n, self.xx - self.x * self.x / n
         slope = (self.xy - self.y * mean) / spread if spread > 1e-9 else 0.0
         residual = max(1e-9, self.yy - self.y * self.y / n - slope * slope * spread)
-        if n <= FIT_LEAST or spread <= 1e-9:
+        if n <= FIT_MIN_POINTS or spread <= 1e-9:
             return self.y / n + slope * (x - mean), 0.0
         error = residual / (n - 2.0) * (1.0 + 1.0 / n + (x - mean) ** 2 / spread)
         return self.y / n + slope * (x - mean), error ** -0.5
@@ -88,7 +88,7 @@
             c.ratios, c.sent_units = [], 0.0
         latency = sum(ratios) / len(ratios) if ratios else 0.0
         # Steps scale with the confidence in the fit where that is high enough, else they are constant.
-        step = STEP * min(FULL_STEP, max(1.0, self.fit.predict(rate)[1] / CONFIDENT))
+        step = STEP * min(FULL_STEP, max(1.0, self.fit.predict(rate)[1] / MIN_CONFIDENCE))
         worst = max((c.ratio for c in regions["failed"]), default=0.0)
         self.is_overloaded = bool(regions["failed"])
         if not self.is_overloaded:
@@ -107,14 +107,14 @@
         cut, active = self.cut, [c for group in regions.values() for c in group]
         both = [(c.rate, cut.rates[c.key]) for c in active if c.key in cut.rates] + [(latency, cut.predicted)]
         return (worst > cut.worst or any(c.key not in cut.lucky for c in regions["lucky"])
-                or any(not 1 / CHANGE <= (a + 0.01) / (b + 0.01) <= CHANGE for a, b in both))
+                or any(not 1 / CHANGE_FACTOR <= (a + 0.01) / (b + 0.01) <= CHANGE_FACTOR for a, b in both))
 
     def _decide(self, regions: dict[str, list[Customer]], worst: float, rate: float, step: float) -> Cut:
         """Cut `lucky`, then `exceeded`, then `meet` if several plans fail; in each the least worth first."""
         to_cut, takes = step * sum(c.rate for c in self.active.values()), []
         many_plans_fail = len({c.plan for c in regions["failed"]}) > 1
         for c in regions["lucky"] + regions["exceeded"] + (regions["meet"] if many_plans_fail else []):
-            take = min(to_cut, MOST_CUT * step * c.rate)
+            take = min(to_cut, MAX_CUT_STEPS * step * c.rate)
             to_cut -= take
             takes.append((c, take))
             if to_cut <= 0.0:
@@ -125,9 +125,9 @@
     def _raise_caps(self, step: float, now: float) -> None:
         """Return unused capacity by worth; no cap falls below the customer's average rate."""
         cut = [c for c in self.active.values() if c.cap is not None]
-        capacity = RETURN * step * sum(self.local_rate(c, now) for c in cut)
+        capacity = RETURN_STEPS * step * sum(self.local_rate(c, now) for c in cut)
         for c in sorted(cut, key=lambda c: (-c.worth, c.key)):
             rate = self.local_rate(c, now)
-            returned = min(capacity, MOST_CUT * RETURN * step * rate)
+            returned = min(capacity, MAX_CUT_STEPS * RETURN_STEPS * step * rate)
             c.cap, capacity = max(c.cap, c.rate) + returned, capacity - returned
             c.cap = c.cap if c.cap < rate else None
--- a/fennelpoint/selection.py
+++ b/fennelpoint/selection.py
@@ -14,7 +14,7 @@
 FAILURE_FACTOR, MAX_SLOWNESS, SLOWNESS_HALF_LIFE_S = 4.0, 6.0, 1.0  # a failure multiplies slowness
 MAX_REST_S, MAX_PRESSURE = 3.0, 0.25  # longest rest after failures; part of the aim lost to queueing
 MIN_EVIDENCE, STUCK_AIMS = 8, 1.0    # responses between two window cuts; aims after which an attempt is stuck
-FIRST_OUT, WINDOW_CUT, MIN_WINDOW = 12.0, 0.85, 0.1  # attempts: first, per backend; least, in all
+INIT_SIZE, WINDOW_CUT, MIN_WINDOW = 12.0, 0.85, 0.1  # attempts: first, per backend; least, in all
 OTHER_ZONE_FACTOR, SUBSET_SIZE = 1.15, 16  # cost of leaving the zone; backends used of a large fleet
 PROBES_PER_REQUEST, PROBE_WAIT_S = 2, 0.05  # only where own load says little about backends
 MAX_PROBE_PRICE = 0.02  # most that one probe per request gains, of the result; dearer ones are not sent
@@ -50,7 +50,7 @@
         for limiter in (self.limiter, *self.cells.values()):
             limiter.ready = None
             if not limiter.window and (size := len(self.ready(limiter))):
-                limiter.window = max(1.0, FIRST_OUT * size / self.settings.ingresses / self.context.processes)
+                limiter.window = max(1.0, INIT_SIZE * size / self.settings.ingresses / self.context.processes)
 
     def ready(self, limiter: ConcurrencyLimiter) -> list[Backend]:
         """The ready backends of a cell, in the order of this ingress."""
--- a/fennelpoint/state.py
+++ b/fennelpoint/state.py
@@ -70,7 +70,7 @@
     store: float                # units in the bucket of all ingresses together, by the counter
     filled_at: float            # when the buckets were last refilled
     total_at: float             # when the last total arrived
-    count_at: float        # when the counter may be called next
+    count_at: float             # when the counter may be called next
     seen_at: float = 0.0
     total: float | None = None  # the counter's last total
     asks: bool = False          # whether each of its requests asks the counter
@@ -103,7 +103,7 @@
     ratio: float = 0.0          # average latency over aim
     ratios: list[float] = field(default_factory=list)  # latencies over aim this period
     worth: float = 0.0
-    cap: float | None = None  # units per second while it is capped
+    cap: float | None = None    # units per second while it is capped
     cap_level: float = 0.0
 
     def ahead(self, worth: float) -> float:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -119,16 +119,16 @@
 
 def many_backends(**changes) -> Harness:
     """A controller with so many backends that only the quota limits it."""
-    made = Harness(make_settings(**changes))
-    made.backends(*(f"s{i:02}" for i in range(40)))
-    return made
+    harness = Harness(make_settings(**changes))
+    harness.backends(*(f"s{i:02}" for i in range(40)))
+    return harness
 
 
 @pytest.fixture
 def harness() -> Harness:
-    made = Harness(make_settings())
-    made.backends("a", "b")
-    return made
+    harness = Harness(make_settings())
+    harness.backends("a", "b")
+    return harness
 
 
 def kinds(actions: list) -> list[type]:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -177,7 +177,7 @@
         harness = Harness(make_settings(ingresses=ingresses))
         harness.backends("a")
         sent = sum(api.Send in kinds(harness.request(customer=i)) for i in range(30))
-        assert sent == max(1, int(selection.FIRST_OUT / ingresses))
+        assert sent == max(1, int(selection.INIT_SIZE / ingresses))
 
 
 def test_failures_in_a_row_make_a_backend_rest_even_where_most_look_bad():
