--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -1,130 +1,130 @@
-"""A customer that asks for more than it has: its dear tries go before its cheap ones."""
+"""A customer that exceeds its quota: its requests of more worth go before those of less worth."""
 
-from conftest import HARD, KEYED, SAFE, SOFT, World, kinds, make_settings, wide
+from conftest import HARD, KEYED, SAFE, SOFT, Harness, kinds, make_settings, many_backends
 from hypothesis import given
 from hypothesis import strategies as st
 
 from fennelpoint import interface as api
 
-DEAR = KEYED    # worth 2 in these settings; a read is worth 1
+VALUABLE = KEYED    # worth 2 in these settings; a read is worth 1
 
 
 def sent(actions: list) -> int:
     return kinds(actions).count(api.Send)
 
 
-def answered(world: World, actions: list) -> list[int]:
-    """The requests sent, each answered at once, and those that this let go."""
+def answered(harness: Harness, actions: list) -> list[int]:
+    """The ids of the requests sent; each is answered at once, which may release others."""
     done = []
     while sends := [a for a in actions if isinstance(a, api.Send)]:
         done += [a.request for a in sends]
-        actions = [b for a in sends for b in world.answer(a.request, a.backend, latency=0.02)]
+        actions = [b for a in sends for b in harness.answer(a.request, a.backend, latency=0.02)]
     return done
 
 
-def level(world: World) -> float:
-    """Units in the bucket by now."""
-    world.control.quotas.fill(world.control.customers[1], world.now)
-    return world.control.customers[1].level
+def level(harness: Harness) -> float:
+    """Units in the bucket at the current time."""
+    harness.control.quotas.fill(harness.control.customers[1], harness.now)
+    return harness.control.customers[1].level
 
 
-def short_of_units(world: World, **ask) -> None:
+def short_of_units(harness: Harness, **ask) -> None:
     """Spend the even share of the burst, four units."""
     for _ in range(4):
-        assert sent(world.ask(**ask)) == 1
-
-
-def test_dear_try_does_not_wait_behind_cheap_ones():
-    """Told to wait behind all that waited, a dear try that is wanted sooner than they are was refused."""
-    cheap, dear = make_settings().classes[SAFE], make_settings().classes[DEAR]
-    cheap.aim, dear.aim = 4.0, 1.2
-    world = wide(classes=[cheap, make_settings().classes[1], dear])
-    short_of_units(world, left=8.0)
-    for _ in range(3):          # 2 units a second come in: 1.5 s of waiting
-        assert world.ask(left=8.0) == []
-    assert world.ask(DEAR) == []        # half a second, were it alone
-    first = [a.request for a in world.wait(0.6) if isinstance(a, api.Send)]
-    assert first == [world.ids]
-
-
-def test_cheap_try_still_waits_behind_dear_ones():
-    world = wide()
-    short_of_units(world)
-    assert world.ask(DEAR) == []
-    world.wait(0.3)
-    world.ask(SAFE)
-    out = world.wait(0.25)      # one unit is there: the dear one's
+        assert sent(harness.request(**ask)) == 1
+
+
+def test_request_of_more_worth_does_not_wait_behind_others():
+    """An urgent request of more worth was refused because it was queued behind all waiting ones."""
+    read, valuable = make_settings().classes[SAFE], make_settings().classes[VALUABLE]
+    read.aim, valuable.aim = 4.0, 1.2
+    harness = many_backends(classes=[read, make_settings().classes[1], valuable])
+    short_of_units(harness, left=8.0)
+    for _ in range(3):          # refills at 2 units per second: 1.5 s of waiting
+        assert harness.request(left=8.0) == []
+    assert harness.request(VALUABLE) == []        # half a second if it were alone
+    first = [a.request for a in harness.advance(0.6) if isinstance(a, api.Send)]
+    assert first == [harness.ids]
+
+
+def test_request_of_less_worth_waits_behind_those_of_more():
+    harness = many_backends()
+    short_of_units(harness)
+    assert harness.request(VALUABLE) == []
+    harness.advance(0.3)
+    harness.request(SAFE)
+    out = harness.advance(0.25)      # one unit is there, for the request of more worth
     assert [a.request for a in out if isinstance(a, api.Send)] == [5]
 
 
-def test_short_customer_keeps_units_for_the_dear_tries_it_asks_for():
-    world = wide()
-    short_of_units(world)
-    world.ask(DEAR)             # asks for dear ones, too
-    world.wait(1.5)             # short, and some units came in
-    assert level(world) >= 1.0
-    assert sent(world.ask(SAFE)) == 0
-    assert sent(world.ask(DEAR)) == 1
+def test_short_customer_reserves_units_for_requests_of_more_worth():
+    harness = many_backends()
+    short_of_units(harness)
+    harness.request(VALUABLE)             # has demand of more worth too
+    harness.advance(1.5)             # short, with some units refilled
+    assert level(harness) >= 1.0
+    assert sent(harness.request(SAFE)) == 0
+    assert sent(harness.request(VALUABLE)) == 1
 
 
-def test_cheap_tries_are_not_starved_by_what_is_kept():
-    """What is kept is part of the bucket: with time alone it holds enough for any try."""
-    world, cheap, done = wide(most_units=4.0), set(), []    # the whole bucket could be kept
-    for _ in range(40):         # 2 units a second come in, 2.1 are asked for each half second
-        done += answered(world, world.ask(DEAR, units=0.1))
-        done += answered(world, world.ask(SAFE, units=2.0))
-        cheap.add(world.ids)
-        done += answered(world, world.wait(0.5))
-    assert 15 <= len(cheap & set(done)) <= 20   # 44 units, of which 4 are for the dear ones
+def test_reserved_units_do_not_starve_requests_of_less_worth():
+    """Only a part of the bucket is reserved: given time it holds enough for any request."""
+    harness, cheap, done = many_backends(most_units=4.0), set(), []    # the whole bucket could be reserved
+    for _ in range(40):         # refills at 2 units per second; demand is 2.1 units per half second
+        done += answered(harness, harness.request(VALUABLE, units=0.1))
+        done += answered(harness, harness.request(SAFE, units=2.0))
+        cheap.add(harness.ids)
+        done += answered(harness, harness.advance(0.5))
+    assert 15 <= len(cheap & set(done)) <= 20   # 44 units, 4 of them for requests of more worth
 
 
-def test_customer_that_asks_for_one_class_only_keeps_nothing():
-    world = wide()
-    short_of_units(world)
-    world.ask()
-    world.wait(1.2)
-    assert level(world) >= 1.0
-    assert sent(world.ask()) == 1
+def test_customer_with_one_class_reserves_nothing():
+    harness = many_backends()
+    short_of_units(harness)
+    harness.request()
+    harness.advance(1.2)
+    assert level(harness) >= 1.0
+    assert sent(harness.request()) == 1
 
 
-def test_customer_that_is_not_short_keeps_nothing():
-    world = wide()
-    assert sent(world.ask(DEAR)) == 1
-    assert [sent(world.ask(SAFE)) for _ in range(3)] == [1, 1, 1]
+def test_customer_that_is_not_short_reserves_nothing():
+    harness = many_backends()
+    assert sent(harness.request(VALUABLE)) == 1
+    assert [sent(harness.request(SAFE)) for _ in range(3)] == [1, 1, 1]
 
 
-def test_nothing_counts_as_waiting_once_all_is_released():
-    """What rounding left over kept a customer from being forgotten, for good."""
-    world = wide()
-    short_of_units(world)
+def test_no_units_count_as_queued_once_all_requests_are_released():
+    """A rounding remainder of queued units kept a customer from ever being evicted."""
+    harness = many_backends()
+    short_of_units(harness)
     for units in (0.1, 0.2, 0.3):
-        assert world.ask(units=units) == []
-    world.wait(5.0)
-    assert not world.control.line.held and not world.control.customers[1].waits
+        assert harness.request(units=units) == []
+    harness.advance(5.0)
+    assert not harness.control.requests.waiting and not harness.control.customers[1].queued
 
 
-@given(st.lists(st.tuples(st.sampled_from([SAFE, DEAR]), st.sampled_from([HARD, SOFT]), st.integers(1, 2),
+@given(st.lists(st.tuples(st.sampled_from([SAFE, VALUABLE]), st.sampled_from([HARD, SOFT]), st.integers(1, 2),
                           st.floats(0.0, 0.6)), max_size=40))
-def test_units_waiting_by_worth_are_those_of_the_line(steps):
-    world = wide()
+def test_queued_units_by_worth_match_the_waiting_requests(steps):
+    harness = many_backends()
     for cls, plan, units, pause in steps:
-        world.ask(cls, plan=plan, customer=plan, units=float(units))
-        world.wait(pause)
-        for customer in world.control.customers.values():
-            held = [t for t in world.control.line.held.values() if t.customer is customer]
-            for worth in {t.worth for t in held} | set(customer.waits):
-                units_held = sum(t.ask.units for t in held if t.worth >= worth)
-                assert abs(customer.ahead(worth) - units_held) < 1e-6
-
-
-def test_cheap_try_is_looked_at_when_its_bucket_holds_what_is_kept_too():
-    world = wide()
-    short_of_units(world)
-    world.ask(DEAR, units=0.1)
-    world.wait(0.9)             # its unit is there, those kept are not
-    assert level(world) >= 1.0
-    assert world.ask(SAFE) == []
-    looks, handle = [], world.control.handle
-    world.control.handle = lambda event, now: looks.append(event) or handle(event, now)
-    world.wait(0.4)
-    assert len(looks) <= 6      # looking every 20 ms would be 20
+        harness.request(cls, plan=plan, customer=plan, units=float(units))
+        harness.advance(pause)
+        for customer in harness.control.customers.values():
+            queued = [t for t in harness.control.requests.waiting.values() if t.customer is customer]
+            for worth in {t.worth for t in queued} | set(customer.queued):
+                queued_units = sum(t.request.units for t in queued if t.worth >= worth)
+                assert abs(customer.ahead(worth) - queued_units) < 1e-6
+
+
+def test_request_is_checked_when_its_bucket_also_holds_the_reserved_units():
+    harness = many_backends()
+    short_of_units(harness)
+    harness.request(VALUABLE, units=0.1)
+    harness.advance(0.9)             # its unit is there, the reserved ones are not
+    assert level(harness) >= 1.0
+    assert harness.request(SAFE) == []
+    checks, handle = [], harness.control.handle
+    harness.control.handle = lambda event, now: checks.append(event) or handle(event, now)
+    harness.advance(0.4)
+    assert len(checks) <= 6      # 20 if checked every 20 ms
