--- a/fennelpoint/__main__.py
+++ b/fennelpoint/__main__.py
@@ -25,7 +25,7 @@
 from fennelpoint.net.controller_host import Host
 from fennelpoint.net.counter import Counter
 from fennelpoint.net.discovery import Address, Discovery, Listing, parse_address, parse_list
-from fennelpoint.net.graceful_shutdown import Leaving
+from fennelpoint.net.graceful_shutdown import GracefulShutdown
 from fennelpoint.net.server import Server
 from fennelpoint.rate_limited_log import log
 from fennelpoint.settings import from_json
@@ -164,7 +164,7 @@
         self.coming: Discovery | None = None    # a new discovery that has not told its list yet
         self.life = LifeCycle(time.monotonic())
         self.server = Server(loop, self.host, room, self.life)
-        self.look = Leaving(loop, self.life, self.server, self.host, self._end).look
+        self.look = GracefulShutdown(loop, self.life, self.server, self.host, self._end).check
         self.parts = make_parts(self)   # those that are on, by name
         self.host.watchers = [part.follow for part in self.parts.values()]
 
--- a/fennelpoint/components.py
+++ b/fennelpoint/components.py
@@ -17,12 +17,12 @@
     if config.door is None:
         return None
     from fennelpoint.file_descriptors import plan
-    from fennelpoint.net.admin_socket import Door
+    from fennelpoint.net.admin_socket import AdminSocket
 
     def stand() -> str:
         return f": {len(ingress.server.connections)} connections, {ingress.host.waiting} requests open"
 
-    return Door(ingress.loop, config.door, ingress.life, config.name, plan(config.sockets).callers,
+    return AdminSocket(ingress.loop, config.door, ingress.life, config.name, plan(config.sockets).callers,
                 ingress.look, stand)
 
 
@@ -42,9 +42,9 @@
     config = ingress.config
     if config.operator is None or (routes := config.operator.routes) is None:
         return None
-    from fennelpoint.net.route_matching import RoutesPart
+    from fennelpoint.net.route_matching import RoutesComponent
 
-    return RoutesPart(ingress, routes)
+    return RoutesComponent(ingress, routes)
 
 
 def _announce(ingress: Carrier) -> Part | None:
@@ -52,18 +52,18 @@
     if ingress.config.operator is None or (announce := ingress.config.operator.announce) is None:
         return None
     from fennelpoint.net.discovery import parse_address
-    from fennelpoint.net.heartbeat import Beat
+    from fennelpoint.net.heartbeat import Heartbeat
 
-    return Beat(ingress.loop, parse_address(announce.beat_listen, "beat_listen"), ingress.word)
+    return Heartbeat(ingress.loop, parse_address(announce.beat_listen, "beat_listen"), ingress.word)
 
 
 def _twins(ingress: Carrier) -> Part | None:
     """The other processes of this ingress, where the platform holds its socket."""
     if ingress.config.inherited is None or not ingress.config.folder:
         return None
-    from fennelpoint.net.process_group import TwinsPart
+    from fennelpoint.net.process_group import ProcessGroup
 
-    return TwinsPart.made(ingress)
+    return ProcessGroup.create(ingress)
 
 
 def _fleet(ingress: Carrier) -> Part | None:
--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -133,7 +133,7 @@
     def others(self) -> int:
         """Further processes of this ingress that live."""
         twins = self.ingress.parts.get("twins")
-        return len(twins.relay.living()) if twins is not None else 0
+        return len(twins.registry.live_generations()) if twins is not None else 0
 
     def _restore(self) -> None:
         """What the life before left; what can't be used is set aside with one line."""
@@ -450,7 +450,7 @@
         routes = self.ingress.parts.get("routes")
         if routes is not None and new is not before:
             self.ingress.server.reader.take(new.table if new.table is not None else self.own_table)
-            routes.ruled = new.table is not None
+            routes.is_fleet_managed = new.table is not None
         # While the version before may still be acted on, the smaller of both figures holds.
         old = self.ready.get(self.licence.fleet.version.digest) if act.mixed else new
         self._go_by(version_contents.least(old.plans, new.plans) if old is not None else new.plans, act.mixed)
--- a/fennelpoint/net/__init__.py
+++ b/fennelpoint/net/__init__.py
@@ -1,1 +1,1 @@
-"""The socket side of the ingress: bytes to `interface` events, actions to bytes.  It decides nothing."""
+"""The network side of the ingress: turns input into `interface` events, and actions into output.  Decides nothing."""
--- a/fennelpoint/net/admin_socket.py
+++ b/fennelpoint/net/admin_socket.py
@@ -1,6 +1,6 @@
-"""The operators' door: one line to a connection, one line back that begins with ACK or NAK.
+"""The admin socket: a connection sends one command line and gets one line that begins with ACK or NAK.
 
-Nothing is decided here: the life-cycle says what a call does.  Loaded only where there is a door.
+The lifecycle decides what a command does.  Loaded only if an admin address is configured.
 """
 
 from __future__ import annotations
@@ -13,105 +13,109 @@
 from fennelpoint.lifecycle import Event, IllegalMove, LifeCycle
 from fennelpoint.rate_limited_log import log
 
-MOST_LINE = 128     # bytes
-PATIENCE = 4.5      # s for a caller to say its line
-LINGER = 0.5        # s for it to read the answer and close
-CALLS = {"drain": Event.DRAIN, "resume": Event.RESUME}
+MAX_LINE_BYTES = 128
+LINE_TIMEOUT_S = 4.5        # for the command line to arrive
+CLOSE_TIMEOUT_S = 0.5       # for the client to read the answer and close
+COMMANDS = {"drain": Event.DRAIN, "resume": Event.RESUME}
 
 
-def answer(line: bytes, life: LifeCycle, now: float, stand: Callable[[], str]) -> tuple[str, bool]:
-    """What a call does, and its answer; whether it moved the life-cycle."""
+def run_command(line: bytes, lifecycle: LifeCycle, now: float, describe_load: Callable[[], str]) -> tuple[str, bool]:
+    """Run one command line; return the answer, and whether the lifecycle changed its phase."""
     try:
-        word = line.decode("ascii").strip()
+        command = line.decode("ascii").strip()
     except UnicodeDecodeError:
         return "NAK the call is not ASCII: ready, drain and resume are known", False
-    if word == "ready":
-        return f"{'ACK' if life.ready else 'NAK'} {life.phase.value}{stand()}", False
-    if (event := CALLS.get(word)) is None:
+    if command == "ready":
+        return f"{'ACK' if lifecycle.ready else 'NAK'} {lifecycle.phase.value}{describe_load()}", False
+    if (event := COMMANDS.get(command)) is None:
         return "NAK no such call: ready, drain and resume are known", False
-    before = life.phase
+    phase_before = lifecycle.phase
     try:
-        life.handle(event, now)
+        lifecycle.handle(event, now)
     except IllegalMove as error:
         return f"NAK {error}", False
-    return f"ACK {life.phase.value}{stand()}", life.phase is not before
+    return f"ACK {lifecycle.phase.value}{describe_load()}", lifecycle.phase is not phase_before
 
 
-class Caller(asyncio.Protocol):
-    """One connection to the door."""
+class AdminConnection(asyncio.Protocol):
+    """One connection to the admin socket."""
 
-    def __init__(self, door: Door) -> None:
-        self.door, self.line, self.done = door, b"", False
+    def __init__(self, admin_socket: AdminSocket) -> None:
+        self.admin_socket, self.line, self.is_answered = admin_socket, b"", False
         self.transport: asyncio.Transport | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        self.timer = self.door.loop.call_later(PATIENCE, transport.abort)
-        self.door.take(self)
+        self.timer = self.admin_socket.loop.call_later(LINE_TIMEOUT_S, transport.abort)
+        self.admin_socket.add(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.done:
+        if self.is_answered:
             return
         self.line += data
         line, end, _ = self.line.partition(b"\n")
-        if end and len(line) <= MOST_LINE:
-            self._say(self.door.call(line))
-        elif len(self.line) > MOST_LINE:
-            self._say("NAK the line is too long")
+        if end and len(line) <= MAX_LINE_BYTES:
+            self._reply(self.admin_socket.execute(line))
+        elif len(self.line) > MAX_LINE_BYTES:
+            self._reply("NAK the line is too long")
 
     def eof_received(self) -> bool:
-        if not self.done:       # a last line without its end counts; half a call is none
-            self._say(self.door.call(self.line) if self.line else "NAK nothing was called")
-        return True             # the answer is still on its way
+        if not self.is_answered:    # a last line without a newline counts; a partial command matches none
+            self._reply(self.admin_socket.execute(self.line) if self.line else "NAK nothing was called")
+        return True             # keeps the transport open until the answer is written
 
-    def _say(self, text: str) -> None:
-        self.done, self.line = True, b""
+    def _reply(self, text: str) -> None:
+        self.is_answered, self.line = True, b""
         self.transport.write(text.encode() + b"\n")
         self.transport.write_eof()
         self.timer.cancel()
-        self.timer = self.door.loop.call_later(LINGER, self.transport.abort)
+        self.timer = self.admin_socket.loop.call_later(CLOSE_TIMEOUT_S, self.transport.abort)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.timer.cancel()
-        self.door.callers.pop(self, None)
+        self.admin_socket.connections.pop(self, None)
 
 
-class Door(Part):
-    """The listener for the operators' calls."""
+class AdminSocket(Part):
+    """The listener for admin connections."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], life: LifeCycle, name: str,
-                 most: int, moved: Callable[[], None], stand: Callable[[], str] = lambda: "") -> None:
-        """`most` callers at a time: the oldest makes room.
+    def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], lifecycle: LifeCycle, name: str,
+                 max_connections: int, on_phase_change: Callable[[], None],
+                 describe_load: Callable[[], str] = lambda: "") -> None:
+        """Over `max_connections`, the oldest connection is closed.
 
-        `moved` is told after a call that changed the phase; `stand` gives figures for the answer.
+        `on_phase_change` is called after a command that changed the phase; `describe_load` returns figures that are
+        appended to the answer.
         """
-        self.loop, self.address, self.life, self.name, self.most = loop, address, life, name, most
-        self.moved, self.stand = moved, stand
-        self.callers: dict[Caller, None] = {}   # the oldest first
+        self.loop, self.address, self.lifecycle, self.name, self.max_connections = (
+            loop, address, lifecycle, name, max_connections)
+        self.on_phase_change, self.describe_load = on_phase_change, describe_load
+        self.connections: dict[AdminConnection, None] = {}  # the oldest first
         self.listener: asyncio.Server | None = None
 
     async def start(self) -> None:
-        self.listener = await self.loop.create_server(lambda: Caller(self), *self.address, backlog=128,
+        self.listener = await self.loop.create_server(lambda: AdminConnection(self), *self.address, backlog=128,
                                                       reuse_address=True)
 
-    def take(self, caller: Caller) -> None:
-        """Guards the descriptors: callers that say nothing cost a later one no answer."""
-        self.callers[caller] = None
-        if len(self.callers) > self.most:
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]
+    def add(self, connection: AdminConnection) -> None:
+        """Add a connection; over the limit, close the oldest: silent ones must not use up descriptors."""
+        self.connections[connection] = None
+        if len(self.connections) > self.max_connections:
+            oldest = next(iter(self.connections))
+            del self.connections[oldest]
             oldest.transport.abort()
 
-    def call(self, line: bytes) -> str:
-        text, moved = answer(line, self.life, time.monotonic(), self.stand)
-        if moved:
-            log.info("%s is told at its door: %s", self.name, text)
-            self.moved()
+    def execute(self, line: bytes) -> str:
+        """Run a command, log and report a change of the phase, and return the answer."""
+        text, has_new_phase = run_command(line, self.lifecycle, time.monotonic(), self.describe_load)
+        if has_new_phase:
+            log.info("%s: admin command changed the phase: %s", self.name, text)
+            self.on_phase_change()
         return text
 
     def close(self) -> None:
         if self.listener is not None:
             self.listener.close()
-        for caller in list(self.callers):
-            caller.transport.abort()
+        for connection in list(self.connections):
+            connection.transport.abort()
--- a/fennelpoint/net/backends.py
+++ b/fennelpoint/net/backends.py
@@ -21,7 +21,7 @@
 from fennelpoint.body_buffering import COMMIT, MOST, STOPPED, WHOLE, Budget, Upload
 from fennelpoint.connecting import connect
 from fennelpoint.interface import BackendState, Roster, RosterKind, Status
-from fennelpoint.net.flow_control import Paced
+from fennelpoint.net.flow_control import BoundedReadProtocol
 from fennelpoint.rate_limited_log import complain
 
 MOST_RECEIVED = 2 * WHOLE   # bytes of a whole answer with its head and framing
@@ -116,7 +116,7 @@
         return self.state is BackendState.READY and not self.retired
 
 
-class UpstreamConnection(Paced):
+class UpstreamConnection(BoundedReadProtocol):
     """A kept-alive connection that carries one exchange at a time."""
 
     __slots__ = ("pool", "upstream", "transport", "exchange", "first", "parser", "flushed", "idle_since",
@@ -309,7 +309,7 @@
         self.exchange = self.sink = None
         if self.paused:
             self.resume()
-        if self.bounded:
+        if self.reads_bounded:
             self.bound_reads(False)
         if self.excess or not written or not self.keep or not self.upstream.open:
             self.close()
--- a/fennelpoint/net/flow_control.py
+++ b/fennelpoint/net/flow_control.py
@@ -1,7 +1,8 @@
-"""Connections that read as much at a time as the byte budget allows, while a large body flows through them.
+"""Connections that bound each read by the byte budget while they stream a large body.
 
-A plain protocol gets up to 256 KB at a time from the loop, and is the cheaper by a fifth of all CPU a small
-request costs.  So a connection is one, and reads into a bounded buffer only for as long as there is a flow.
+A plain `asyncio.Protocol` receives up to 256 KB per read, and saves a fifth of the CPU time of a small request
+compared with a buffered one.  So a connection is a plain protocol, and reads into a bounded buffer only while it
+streams a body.
 """
 
 from __future__ import annotations
@@ -10,41 +11,41 @@
 
 from fennelpoint.body_buffering import READ, Budget
 
-_shared = bytearray(READ)   # filled and emptied within one turn of the loop
-_view = memoryview(_shared)
+_read_buffer = bytearray(READ)   # shared: filled and emptied within one turn of the loop
+_read_view = memoryview(_read_buffer)
 
 
-class Paced(asyncio.Protocol):
-    """A connection that can bound its reads."""
+class BoundedReadProtocol(asyncio.Protocol):
+    """A connection that can bound the size of its reads; subclasses set `transport`."""
 
-    __slots__ = ("budget", "bounded")
+    __slots__ = ("budget", "reads_bounded")
 
     def __init__(self, budget: Budget) -> None:
-        self.budget, self.bounded = budget, False
+        self.budget, self.reads_bounded = budget, False
 
     def bound_reads(self, bounded: bool) -> None:
-        """From now on, or no longer; must not be called while reading is paused."""
-        if bounded is not self.bounded and not self.transport.is_closing():
-            self.bounded = bounded
-            # The loop looks at the kind of protocol only when reading starts.
+        """Switch the bound on or off.  Must not be called while reading is paused."""
+        if bounded is not self.reads_bounded and not self.transport.is_closing():
+            self.reads_bounded = bounded
+            # The loop checks the type of the protocol only when reading starts.
             self.transport.pause_reading()
-            self.transport.set_protocol(_Bounded(self) if bounded else self)
+            self.transport.set_protocol(_BufferedProtocol(self) if bounded else self)
             self.transport.resume_reading()
 
 
-class _Bounded(asyncio.BufferedProtocol):
-    """Hands everything on to a connection, and what is read in pieces of a bounded size."""
+class _BufferedProtocol(asyncio.BufferedProtocol):
+    """Delegates to a connection, and passes its input on in pieces of bounded size."""
 
     __slots__ = ("connection", "connection_lost", "eof_received", "pause_writing", "resume_writing")
 
-    def __init__(self, connection: Paced) -> None:
+    def __init__(self, connection: BoundedReadProtocol) -> None:
         self.connection = connection
         self.connection_lost = connection.connection_lost
         self.eof_received = connection.eof_received
         self.pause_writing, self.resume_writing = connection.pause_writing, connection.resume_writing
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return _view[:self.connection.budget.read]
+        return _read_view[:self.connection.budget.read]
 
     def buffer_updated(self, count: int) -> None:
-        self.connection.data_received(bytes(_view[:count]))
+        self.connection.data_received(bytes(_read_view[:count]))
--- a/fennelpoint/net/graceful_shutdown.py
+++ b/fennelpoint/net/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Carries out what the life-cycle finds due, for an ingress by itself and for a front of the whole system."""
+"""Carries out the steps of a drain or a shutdown, for a single ingress and for a proxy of the whole system."""
 
 from __future__ import annotations
 
@@ -10,31 +10,34 @@
 from fennelpoint.net.controller_host import Host
 from fennelpoint.net.server import Server
 
-LOOK = 0.05     # s between looks at what a drain or an end has left to do
+POLL_INTERVAL_S = 0.05  # between checks of a drain or shutdown in progress
 
 
-class Leaving:
-    """`look` is called after each move of the life-cycle; `ended` once all is answered and written."""
+class GracefulShutdown:
+    """Call `check` after each change of the lifecycle's phase.
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, life: LifeCycle, server: Server, host: Host,
-                 ended: Callable[[], None]) -> None:
-        self.loop, self.life, self.server, self.host, self.ended = loop, life, server, host, ended
-        self.looking = False
+    `on_exit` is called once every request is answered and the answers are written, or the time for that is up.
+    """
 
-    def look(self) -> None:
-        """Carry out what is due, and come again while it isn't simply serving."""
-        if not self.looking:
-            self._look()
+    def __init__(self, loop: asyncio.AbstractEventLoop, lifecycle: LifeCycle, server: Server, host: Host,
+                 on_exit: Callable[[], None]) -> None:
+        self.loop, self.lifecycle, self.server, self.host, self.on_exit = loop, lifecycle, server, host, on_exit
+        self.is_polling = False
 
-    def _look(self) -> None:
-        steps = self.life.look(time.monotonic(), len(self.server.connections), self.host.waiting)
-        ends = Step.EXIT in steps
-        self.looking = not self.life.keeps and not ends
-        # What comes next is arranged first: a step that fails must not keep the process from its end.
-        if ends:
-            self.loop.call_later(LOOK, self.ended)      # a turn of the loop more, for the last answers to be written
-        elif self.looking:
-            self.loop.call_later(LOOK, self._look)
+    def check(self) -> None:
+        """Carry out the steps that are due, and poll until the process serves normally again or exits."""
+        if not self.is_polling:
+            self._check()
+
+    def _check(self) -> None:
+        steps = self.lifecycle.look(time.monotonic(), len(self.server.connections), self.host.waiting)
+        exits = Step.EXIT in steps
+        self.is_polling = not self.lifecycle.keeps and not exits
+        # Schedules first: a step that fails must not keep the process from exiting.
+        if exits:
+            self.loop.call_later(POLL_INTERVAL_S, self.on_exit)     # leaves time to write the last answers
+        elif self.is_polling:
+            self.loop.call_later(POLL_INTERVAL_S, self._check)
         if Step.STOP_ACCEPTING in steps:
             self.server.stop_listening()
         if Step.CLOSE_IDLE in steps:
--- a/fennelpoint/net/hot_restart.py
+++ b/fennelpoint/net/hot_restart.py
@@ -1,7 +1,7 @@
-"""Generations of one ingress in a folder they share: who lives, what one tells the next.
+"""Generations of one ingress in a shared folder: which are alive, and the state that one hands over to the next.
 
-A generation's file is locked from before it has its name until its process ends, however that ends.  Nothing
-is decided here: `restart_coordination.py` does that; loaded only where the platform holds the clients' socket.
+Each generation holds a lock on its file from before the file gets its name until the process ends, in whatever way.
+`restart_coordination.py` makes the decisions.  Loaded only if the platform holds the clients' listening socket.
 """
 
 from __future__ import annotations
@@ -15,52 +15,52 @@
 from fennelpoint.handover_record import MOST, BadRecord, Record, decode, encode
 from fennelpoint.rate_limited_log import log
 
-SERVES = b"serves\n"
+SERVING_MARK = b"serves\n"
 
 
-class Relay:
-    """This process's place among the generations."""
+class GenerationRegistry:
+    """This process's generation, and its view of the others."""
 
     def __init__(self, folder: str, name: str, listen: str) -> None:
-        """Raises OSError where the folder can't be used."""
+        """Claim a generation; raise OSError if the folder is not usable."""
         self.folder, self.name, self.listen = Path(folder), name, listen
         self.stem = "larchwing-" + re.sub(r"[^0-9A-Za-z]", "-", listen)
-        self.lives = re.compile(re.escape(self.stem) + r"\.(\d{1,9})\.live")
-        self.generation, self.file = self._enter()
+        self.live_file_pattern = re.compile(re.escape(self.stem) + r"\.(\d{1,9})\.live")
+        self.generation, self.lock_file = self._claim_generation()
 
-    def _enter(self) -> tuple[int, int]:
-        """A generation of our own, newer than all others; its file is locked before it has its name."""
+    def _claim_generation(self) -> tuple[int, int]:
+        """Claim the generation after the newest one; its file is locked before it gets its name."""
         draft = self.folder / f"{self.stem}.{os.getpid()}.draft"
         file = os.open(draft, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             while True:
-                generation = max(self._named(), default=0) + 1
+                generation = max(self._listed_generations(), default=0) + 1
                 try:
-                    os.link(draft, self._live(generation))
+                    os.link(draft, self._live_path(generation))
                     return generation, file
                 except FileExistsError:
-                    continue    # another start was quicker
+                    continue    # another process claimed this number first
         except BaseException:
             os.close(file)
             raise
         finally:
             draft.unlink()
 
-    def _live(self, generation: int) -> Path:
+    def _live_path(self, generation: int) -> Path:
         return self.folder / f"{self.stem}.{generation}.live"
 
-    def _named(self) -> list[int]:
-        found = (self.lives.fullmatch(name) for name in os.listdir(self.folder))
-        return [int(match[1]) for match in found if match is not None]
+    def _listed_generations(self) -> list[int]:
+        matches = (self.live_file_pattern.fullmatch(name) for name in os.listdir(self.folder))
+        return [int(match[1]) for match in matches if match is not None]
 
-    def living(self) -> set[int]:
-        """The other generations that live; files of those that don't are taken away."""
-        return {g for g in self._named() if g != self.generation and self._lives(g)}
+    def live_generations(self) -> set[int]:
+        """Return the other live generations; remove the files of dead ones."""
+        return {g for g in self._listed_generations() if g != self.generation and self._is_alive(g)}
 
-    def _lives(self, generation: int) -> bool:
+    def _is_alive(self, generation: int) -> bool:
         try:
-            file = os.open(self._live(generation), os.O_RDONLY | os.O_CLOEXEC)
+            file = os.open(self._live_path(generation), os.O_RDONLY | os.O_CLOEXEC)
         except OSError:
             return False
         try:
@@ -68,49 +68,49 @@
         except OSError:
             return True
         else:
-            self._live(generation).unlink(missing_ok=True)
+            self._live_path(generation).unlink(missing_ok=True)
             return False
         finally:
             os.close(file)
 
-    def serves(self) -> None:
-        """Say that we take clients."""
-        os.pwrite(self.file, SERVES, 0)
+    def mark_serving(self) -> None:
+        """Publish that this process accepts clients."""
+        os.pwrite(self.lock_file, SERVING_MARK, 0)
 
-    def one_serves(self, generation: int) -> bool:
+    def is_serving(self, generation: int) -> bool:
         try:
-            return self._live(generation).read_bytes() == SERVES
+            return self._live_path(generation).read_bytes() == SERVING_MARK
         except OSError:
             return False
 
-    def _record(self, writer: int, reader: int, last: bool) -> Path:
-        return self.folder / f"{self.stem}.{writer}-{reader}.{'last' if last else 'word'}"
+    def _record_path(self, writer: int, reader: int, is_last: bool) -> Path:
+        return self.folder / f"{self.stem}.{writer}-{reader}.{'last' if is_last else 'word'}"
 
-    def has(self, writer: int, last: bool) -> bool:
-        return self._record(writer, self.generation, last).exists()
+    def has_record(self, writer: int, is_last: bool) -> bool:
+        return self._record_path(writer, self.generation, is_last).exists()
 
-    def write(self, reader: int, state: dict, last: bool = False) -> None:
-        """Whole, or not at all."""
-        path = self._record(self.generation, reader, last)
+    def write_record(self, reader: int, state: dict, is_last: bool = False) -> None:
+        """Write a state record for generation `reader`, atomically; log a failure."""
+        path = self._record_path(self.generation, reader, is_last)
         draft = path.with_suffix(".draft")
         try:
-            record = Record(self.name, self.listen, self.generation, reader, time.time(), last, state)
+            record = Record(self.name, self.listen, self.generation, reader, time.time(), is_last, state)
             draft.write_bytes(encode(record))
             draft.rename(path)
         except (OSError, ValueError) as error:
-            log.error("%s can't tell generation %d: %s", self.name, reader, error)
+            log.error("%s can't write the handover record for generation %d: %s", self.name, reader, error)
 
-    def read(self, writer: int, last: bool) -> dict | None:
-        """What a generation told us, once; one that can't be used is set aside."""
-        path = self._record(writer, self.generation, last)
+    def read_record(self, writer: int, is_last: bool) -> dict | None:
+        """Read and remove the record that a generation wrote for this one; rename an unusable record to `.bad`."""
+        path = self._record_path(writer, self.generation, is_last)
         try:
             with path.open("rb") as file:
                 data = file.read(MOST + 1024)
             record = decode(data, self.name, self.listen, self.generation, time.time())
-            if record.writer != writer or record.last is not last:
+            if record.writer != writer or record.last is not is_last:
                 raise BadRecord(f"it is of generation {record.writer}")
         except (OSError, BadRecord) as error:
-            log.error("%s starts cold: %s is not used: %s", self.name, path.name, error)
+            log.error("%s starts cold: handover record %s is not usable: %s", self.name, path.name, error)
             try:
                 path.rename(path.with_suffix(".bad"))
             except OSError:
@@ -120,5 +120,5 @@
         return record.state
 
     def close(self) -> None:
-        self._live(self.generation).unlink(missing_ok=True)
-        os.close(self.file)
+        self._live_path(self.generation).unlink(missing_ok=True)
+        os.close(self.lock_file)
--- a/fennelpoint/net/process_group.py
+++ b/fennelpoint/net/process_group.py
@@ -1,4 +1,4 @@
-"""This process's part among those of its ingress, on sockets: steps of `restart_coordination.py` carried out."""
+"""Carries out the steps of `restart_coordination.py` for this process, one of several that serve one ingress."""
 
 from __future__ import annotations
 
@@ -8,73 +8,75 @@
 from fennelpoint.component import Carrier, Part
 from fennelpoint.file_descriptors import plan
 from fennelpoint.handover import attach, tell, tell_rest
-from fennelpoint.net.hot_restart import Relay
+from fennelpoint.net.hot_restart import GenerationRegistry
 from fennelpoint.rate_limited_log import log
 from fennelpoint.restart_coordination import Give, Serve, Share, Succession, Take
 
-TURN = 0.05     # s between looks at a predecessor, until we serve; then each sweep
+POLL_INTERVAL_S = 0.05  # between checks of the predecessor until this process serves; then checked at each sweep
 
 
-class TwinsPart(Part):
-    """Looks who lives, shares out, tells and takes; holds clients back until it may serve."""
+class ProcessGroup(Part):
+    """Detects live generations, splits quotas and descriptors, and hands state over; delays serving until allowed."""
 
-    def __init__(self, ingress: Carrier, relay: Relay) -> None:
-        self.ingress, self.relay, self.holds = ingress, relay, True
-        self.turn = Succession(relay.generation, relay.living(), time.monotonic())
+    def __init__(self, ingress: Carrier, registry: GenerationRegistry) -> None:
+        self.ingress, self.registry, self.holds = ingress, registry, True
+        self.succession = Succession(registry.generation, registry.live_generations(), time.monotonic())
         attach(ingress.host.controller)
 
     @classmethod
-    def made(cls, ingress: Carrier) -> TwinsPart | None:
-        """None, and a line that says why, where the folder that they share can't be used."""
+    def create(cls, ingress: Carrier) -> ProcessGroup | None:
+        """Return None and log the reason if the shared folder is not usable."""
         config = ingress.config
         try:
-            return cls(ingress, Relay(config.folder, config.name, "{}:{}".format(*config.listen)))
+            return cls(ingress, GenerationRegistry(config.folder, config.name, "{}:{}".format(*config.listen)))
         except OSError as error:
-            log.error("%s has no word for other processes: %s: %s", config.name, error.filename,
+            log.error("%s can't coordinate with other processes: %s: %s", config.name, error.filename,
                       error.strerror)
 
     @property
     def relieved(self) -> bool:
-        return (newer := self.turn.successor) is not None and self.relay.one_serves(newer)
+        return (newer := self.succession.successor) is not None and self.registry.is_serving(newer)
 
     async def start(self) -> None:
-        log.info("%s is generation %d", self.ingress.config.name, self.relay.generation)
-        self._turn()
+        log.info("%s is generation %d", self.ingress.config.name, self.registry.generation)
+        self._advance()
 
     def sweep(self) -> None:
-        if self.turn.serving:
-            self._turn()
+        if self.succession.serving:
+            self._advance()
 
-    def _turn(self) -> None:
-        """What is due among the processes of this ingress."""
-        ingress, turn, relay, before = self.ingress, self.turn, self.relay, {self.turn.predecessor} - {None}
-        steps = turn.look(relay.living(), {g for g in before if relay.has(g, False)},
-                          {g for g in before if relay.has(g, True)}, ingress.listed, time.monotonic())
+    def _advance(self) -> None:
+        """Carry out the steps that are due."""
+        ingress, succession, registry, predecessors = (
+            self.ingress, self.succession, self.registry, {self.succession.predecessor} - {None})
+        steps = succession.look(
+            registry.live_generations(), {g for g in predecessors if registry.has_record(g, False)},
+            {g for g in predecessors if registry.has_record(g, True)}, ingress.listed, time.monotonic())
         for step in steps:
             if isinstance(step, Share):
-                room = plan(ingress.config.sockets, step.parts)
-                ingress.server.room, ingress.backends.most = room, room.upstream
+                descriptor_plan = plan(ingress.config.sockets, step.parts)
+                ingress.server.descriptor_plan, ingress.backends.most = descriptor_plan, descriptor_plan.upstream
                 ingress.host.post(api.Twins(step.parts))
             elif isinstance(step, Give):
-                relay.write(step.generation, tell(ingress.host.controller, step.parts))
-                log.info("%s told generation %d", ingress.config.name, step.generation)
+                registry.write_record(step.generation, tell(ingress.host.controller, step.parts))
+                log.info("%s handed its state over to generation %d", ingress.config.name, step.generation)
             elif isinstance(step, Take):
-                if (state := relay.read(step.generation, step.last)) is not None:
+                if (state := registry.read_record(step.generation, step.last)) is not None:
                     ingress.host.post(api.Told(state))
             elif isinstance(step, Serve):
                 task = ingress.loop.create_task(ingress.server.listen(ingress.config.inherited))
-                task.add_done_callback(lambda task: self._serve())
-        if not turn.serving:
-            ingress.loop.call_later(TURN, self._turn)
+                task.add_done_callback(lambda task: self._start_serving())
+        if not succession.serving:
+            ingress.loop.call_later(POLL_INTERVAL_S, self._advance)
 
-    def _serve(self) -> None:
-        self.relay.serves()
+    def _start_serving(self) -> None:
+        self.registry.mark_serving()
         self.holds = False
         self.ingress.set_ready()
 
     def finish(self) -> None:
-        if (newer := self.turn.successor) is not None:
-            self.relay.write(newer, tell_rest(self.ingress.host.controller), last=True)
+        if (newer := self.succession.successor) is not None:
+            self.registry.write_record(newer, tell_rest(self.ingress.host.controller), is_last=True)
 
     def close(self) -> None:
-        self.relay.close()
+        self.registry.close()
--- a/fennelpoint/net/request_parser.py
+++ b/fennelpoint/net/request_parser.py
@@ -1,4 +1,4 @@
-"""Turns the fields of a client's request into what the module is asked; nothing that can't be trusted goes on."""
+"""Validates the header fields of a client's request and builds the request for the decision module from them."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.controller_host import Asked
 
-MOST_LEFT_MS = 600_000  # ms; a longer wait is not meant
-MOST_CUSTOMER = 1 << 33
-MOST_TERMS = 128  # bytes
-ID = re.compile(rb"[!-~]{1,128}")
-ACCOUNT = re.compile(rb"account=[0-9a-f]{16}")
-ALWAYS_PASSED_ON = frozenset((b"x-txn", b"host"))
-ROUTING = frozenset(
+MAX_REMAINING_MS = 600_000  # ten minutes; a larger value is taken for an error
+CUSTOMER_ID_LIMIT = 1 << 33  # exclusive
+MAX_TERMS_BYTES = 128
+REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
+ACCOUNT_COOKIE_PATTERN = re.compile(rb"account=[0-9a-f]{16}")
+ALWAYS_FORWARDED = frozenset((b"x-txn", b"host"))
+ROUTING_FIELDS = frozenset(
     (
         b"x-txn",
         b"x-lane",
@@ -31,146 +31,153 @@
         b"x-resent",
     )
 )
-NOT_PASSED_ON = HOP_BY_HOP | {b"expect", b"x-remaining-ms"}
+NOT_FORWARDED = HOP_BY_HOP | {b"expect", b"x-remaining-ms"}
 
 
 class BadRequest(ValueError):
-    """What is wrong with a request, with the status that says so."""
+    """An invalid request: the text goes to the client, with this status."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
         self.status = status
 
 
-class Reply(Exception):
-    """A sound request that the ingress answers itself, without asking the module; the connection stays."""
+class LocalReply(Exception):
+    """The response to a valid request that the ingress answers without the decision module; keeps the connection."""
 
     def __init__(
-        self, status: int, headers: tuple[tuple[bytes, bytes], ...] = (), body: bytes = b"", bare: bool = False
+        self,
+        status: int,
+        headers: tuple[tuple[bytes, bytes], ...] = (),
+        body: bytes = b"",
+        is_head_request: bool = False,
     ) -> None:
         super().__init__(status)
         self.status, self.headers, self.body = status, headers, body
-        self.bare = bare  # the request is a HEAD: the body is only counted
+        self.is_head_request = is_head_request  # the body is counted in Content-Length but not sent
 
 
-def framing(body: bytes, upload: Upload | None) -> bytes:
-    """The field that tells a backend where the body ends."""
+def body_framing_field(body: bytes, upload: Upload | None) -> bytes:
+    """The header field that frames the body for a backend."""
     if upload is not None and upload.length is None:
         return b"transfer-encoding: chunked"
     return b"content-length: %d" % (len(body) if upload is None else upload.length)
 
 
-class Reader:
-    """Turns the fields of a request into what the module is asked, by the settings' names."""
+class RequestReader:
+    """Builds requests for the decision module; class and plan names are resolved by the settings."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): i for i, p in enumerate(settings.plans)}
-        self.terms = lru_cache(1024)(self._terms)  # few are ever told apart
+        self.parse_terms = lru_cache(1024)(self._parse_terms)  # few distinct values occur
 
-    def fields(
-        self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], kept: frozenset[bytes] = frozenset()
+    def split_fields(
+        self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], protected: frozenset[bytes] = frozenset()
     ) -> tuple[dict[bytes, bytes], list[bytes]]:
-        """The fields that the routing goes by, and the lines that go on to a backend.
+        """Return the fields that routing relies on, and the head lines to forward to a backend.
 
-        `kept` are further fields that a client's Connection field can't take out.
+        A client's Connection field can't remove the fields in `protected`, nor those in `ALWAYS_FORWARDED`.
         """
-        found: dict[bytes, bytes] = {}
-        options: set[bytes] = set()  # fields that are for this connection only, by the client's word
+        routing_fields: dict[bytes, bytes] = {}
+        connection_options: set[bytes] = set()  # hop-by-hop fields named by the client
         lines = [method + b" " + url + b" HTTP/1.1"]
         for name, value in headers:
-            if name in ROUTING:
-                if name in found:  # which of them counts would be anybody's guess
+            if name in ROUTING_FIELDS:
+                if name in routing_fields:  # ambiguous: other hops may use either value
                     raise BadRequest(f"{name.decode()} is given twice")
-                found[name] = value
+                routing_fields[name] = value
             elif name == b"connection":
-                options.update(word.strip().lower() for word in value.split(b","))
-            if name not in NOT_PASSED_ON:
+                connection_options.update(option.strip().lower() for option in value.split(b","))
+            if name not in NOT_FORWARDED:
                 lines.append(name + b": " + value)
-        if options:
-            options -= ALWAYS_PASSED_ON | kept
-            lines[1:] = [line for line in lines[1:] if line.partition(b":")[0] not in options]
-        return found, lines
+        if connection_options:
+            connection_options -= ALWAYS_FORWARDED | protected
+            lines[1:] = [line for line in lines[1:] if line.partition(b":")[0] not in connection_options]
+        return routing_fields, lines
 
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes, upload: Upload | None = None
     ) -> Asked:
-        """A request as the module is asked; raises BadRequest, and Reply where it is answered here.
+        """Return the request for the decision module; raise BadRequest, or LocalReply if it is answered here.
 
-        With an `upload` the body is still to come whole.
+        With an `upload`, the body is incomplete and will be streamed.
         """
-        found, lines = self.fields(method, url, headers)
-        txn = self.host_and_id(found)
-        cls = self._known(found, b"x-lane", self.classes)
-        safe = self.settings.classes[cls].effect is api.Effect.SAFE
-        if method != (b"GET" if safe else b"POST"):
+        routing_fields, lines = self.split_fields(method, url, headers)
+        txn = self.require_host_and_id(routing_fields)
+        cls = self._require_index(routing_fields, b"x-lane", self.classes)
+        is_safe = self.settings.classes[cls].effect is api.Effect.SAFE
+        if method != (b"GET" if is_safe else b"POST"):
             raise BadRequest("the method is not the class's")
-        if safe and (body or upload is not None):
+        if is_safe and (body or upload is not None):
             raise BadRequest("a GET has no body here")
-        plan = self._known(found, b"api-plan", self.plans)
-        left = self.time_left(found)
-        terms = self._needed(found, b"api-terms")
-        units, width, first = self.terms(terms)
-        if not safe:
-            lines.append(framing(body, upload))
-        customer = self._customer(self._needed(found, b"cookie"))
+        plan = self._require_index(routing_fields, b"api-plan", self.plans)
+        time_left = self.read_time_left(routing_fields)
+        terms = self._require(routing_fields, b"api-terms")
+        units, width, first = self.parse_terms(terms)
+        if not is_safe:
+            lines.append(body_framing_field(body, upload))
+        customer = self._read_customer(self._require(routing_fields, b"cookie"))
         return Asked(
             txn,
             cls,
             plan,
             customer,
-            left,
+            time_left,
             units,
             width,
             first,
-            found.get(b"x-resent") == b"1",
-            not safe,
+            routing_fields.get(b"x-resent") == b"1",
+            not is_safe,
             b"\r\n".join(lines) + b"\r\n",
             body,
             upload=upload,
         )
 
-    def host_and_id(self, found: dict[bytes, bytes]) -> bytes:
-        """The request's id, of a request that names its host."""
-        self._needed(found, b"host")
-        if ID.fullmatch(txn := self._needed(found, b"x-txn")) is None:
+    def require_host_and_id(self, routing_fields: dict[bytes, bytes]) -> bytes:
+        """Return the request's id; raise BadRequest if the id or the host is missing or invalid."""
+        self._require(routing_fields, b"host")
+        if REQUEST_ID_PATTERN.fullmatch(txn := self._require(routing_fields, b"x-txn")) is None:
             raise BadRequest("x-txn is not an id")
         return txn
 
-    def time_left(self, found: dict[bytes, bytes]) -> float:
-        """Seconds that the client will wait."""
-        left = self._needed(found, b"x-remaining-ms")
-        if not left.isdigit() or len(left) > 9 or not 0 < int(left) <= MOST_LEFT_MS:
+    def read_time_left(self, routing_fields: dict[bytes, bytes]) -> float:
+        """Return the seconds that the client will wait."""
+        time_left = self._require(routing_fields, b"x-remaining-ms")
+        if not time_left.isdigit() or len(time_left) > 9 or not 0 < int(time_left) <= MAX_REMAINING_MS:
             raise BadRequest("x-remaining-ms is not a number of milliseconds")
-        return int(left) / 1000.0
+        return int(time_left) / 1000.0
 
-    def _needed(self, found: dict[bytes, bytes], name: bytes) -> bytes:
-        if not (value := found.get(name)):
+    def _require(self, routing_fields: dict[bytes, bytes], name: bytes) -> bytes:
+        if not (value := routing_fields.get(name)):
             raise BadRequest(f"{name.decode()} is missing")
         return value
 
-    def _known(self, found: dict[bytes, bytes], name: bytes, table: dict[bytes, int]) -> int:
-        if (index := table.get(self._needed(found, name))) is None:
+    def _require_index(self, routing_fields: dict[bytes, bytes], name: bytes, table: dict[bytes, int]) -> int:
+        if (index := table.get(self._require(routing_fields, name))) is None:
             raise BadRequest(f"{name.decode()} is none of this site's")
         return index
 
-    def _customer(self, cookie: bytes) -> int:
-        if ACCOUNT.fullmatch(cookie) is not None and (customer := int(cookie[8:], 16)) < MOST_CUSTOMER:
-            return customer  # the usual form
+    def _read_customer(self, cookie: bytes) -> int:
+        if (
+            ACCOUNT_COOKIE_PATTERN.fullmatch(cookie) is not None
+            and (customer := int(cookie[8:], 16)) < CUSTOMER_ID_LIMIT
+        ):
+            return customer  # the only cookie, in the usual form
         pairs = (part.strip().partition(b"=") for part in cookie.split(b";"))
         values = [value for name, _, value in pairs if name == b"account"]
         try:
             if len(values) == 1 and len(values[0]) == 16 and values[0].isalnum():
-                if (customer := int(values[0], 16)) < MOST_CUSTOMER:
+                if (customer := int(values[0], 16)) < CUSTOMER_ID_LIMIT:
                     return customer
         except ValueError:
             pass
         raise BadRequest("the cookie names no account")
 
-    def _terms(self, text: bytes, needs_units: bool = True) -> tuple[float | None, float, float]:
-        """Units, where they must or do stand there, and the customer's set."""
-        if len(text) > MOST_TERMS:
+    def _parse_terms(self, text: bytes, needs_units: bool = True) -> tuple[float | None, float, float]:
+        """Return the units (None if absent and optional), and width and first index of the customer's ingress set."""
+        if len(text) > MAX_TERMS_BYTES:
             raise BadRequest("api-terms is too long")
         terms: dict[bytes, float] = {}
         try:
@@ -183,13 +190,13 @@
             width, first = terms[b"spread"], terms[b"first"]
         except (ValueError, KeyError):
             raise BadRequest("api-terms can't be read") from None
-        most = self.settings.most_units or math.inf
-        whole = width == width // 1 and first == first // 1
+        max_units = self.settings.most_units or math.inf
+        are_integers = width == width // 1 and first == first // 1
         if not (
-            (units is None or 0.0 < units <= most)
+            (units is None or 0.0 < units <= max_units)
             and 1 <= width <= self.settings.ingresses
             and 0 <= first < self.settings.ingresses
-            and whole
+            and are_integers
         ):
             raise BadRequest("api-terms is out of range")
         return units, width, first
--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -1,7 +1,7 @@
-"""Client connections: reads requests, refuses what can't be trusted, writes each request's one answer.
+"""HTTP/1.1 server side: reads and validates client requests, and writes one response for each.
 
-Requests of one connection are served in turn.  Nothing that is malformed reaches a backend: the parser
-is strict, and what the routing goes by is checked here before the host hears of a request.
+Requests of one connection are served in order.  No malformed request reaches a backend: the parser is strict, and
+this module checks the framing and the fields that routing relies on before it passes a request to the host.
 """
 
 from __future__ import annotations
@@ -22,220 +22,222 @@
 from fennelpoint.lifecycle import LifeCycle
 from fennelpoint.net.backends import HOP_BY_HOP, Answer
 from fennelpoint.net.controller_host import Asked, Host, Source
-from fennelpoint.net.flow_control import Paced
-from fennelpoint.net.request_parser import BadRequest, Reader, Reply
-
-MOST_HEAD = 16 * 1024   # bytes of request line and fields together
-MOST_TAKEN = 512 * 1024 # bytes of framing and trailers of one request, beside eight for each of its body
-MOST_WAITING = 16       # requests written behind one another on one connection
-MOST_BEHIND = 256 * 1024  # bytes of their bodies
-MOST_UNREAD = 128 * 1024  # bytes of answers that a client leaves unread before it is served no more
-HEAD_TIMEOUT = 2.5      # s for a request to come whole, from the connect or from its first byte
-IDLE_TIMEOUT = 5.0      # s that a connection may stand with nothing open
-RESET = struct.pack("ii", 1, 0)    # to close without a linger: by a reset
-ELSEWHERE_ADVICE = 0.02 # s, of a process that ends: another may serve it at once
-LINGER = 0.5            # s to read on after an error, so that its answer is not lost with a reset
-MOST_DRAINED = 1024 * 1024  # bytes read and dropped meanwhile
-BACKLOG = 1024          # connections that wait to be accepted
-OWS = b" \t"              # may stand round a field's value (RFC 9110, section 5.5)
-
-REASONS = {200: b"OK", 400: b"Bad Request", 403: b"Forbidden", 404: b"Not Found",
-           405: b"Method Not Allowed", 408: b"Request Timeout", 409: b"Conflict",
-           413: b"Content Too Large", 431: b"Request Header Fields Too Large", 502: b"Bad Gateway",
-           503: b"Service Unavailable"}
-
-
-class ClientConnection(Paced):
-    """One connection of a client or front."""
-
-    __slots__ = ("server", "transport", "parser", "waiting", "open", "deaf", "keep", "since", "head_size",
-                 "taken", "fresh", "method_url", "headers", "body", "body_size", "in_head", "in_body", "lost",
-                 "choked", "place", "bare", "length", "pace", "upload", "account", "source", "chunks",
-                 "framed", "expects", "halted", "again", "passed", "drained", "drained_at", "mark",
-                 "__weakref__")
+from fennelpoint.net.flow_control import BoundedReadProtocol
+from fennelpoint.net.request_parser import BadRequest, LocalReply, RequestReader
+
+MAX_HEAD_BYTES = 16 * 1024          # request line and header fields together
+MAX_FRAMING_BYTES = 512 * 1024      # chunk framing and trailers of one request, beside 8 bytes per body byte
+MAX_PENDING_REQUESTS = 16           # pipelined requests of one connection
+MAX_PENDING_BODY_BYTES = 256 * 1024     # bodies of pipelined requests
+MAX_UNREAD_RESPONSE_BYTES = 128 * 1024  # response bytes left unread before the connection's next request must wait
+HEAD_TIMEOUT_S = 2.5                # for a whole request, from the connect or from its first byte
+IDLE_TIMEOUT_S = 5.0                # for a connection without an open request
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)    # SO_LINGER on with 0 s: closing sends a reset
+RETRY_ELSEWHERE_AFTER_S = 0.02      # Retry-After of a process that stops: another one can serve the retry at once
+LINGER_TIMEOUT_S = 0.5              # reads on after the last response, since a reset would discard that response
+MAX_DISCARDED_BYTES = 1024 * 1024   # input read and dropped during that time
+ACCEPT_BACKLOG = 1024               # connections waiting to be accepted
+OWS = b" \t"                        # optional whitespace around a field value (RFC 9110, section 5.5)
+
+REASON_PHRASES = {200: b"OK", 400: b"Bad Request", 403: b"Forbidden", 404: b"Not Found",
+                  405: b"Method Not Allowed", 408: b"Request Timeout", 409: b"Conflict",
+                  413: b"Content Too Large", 431: b"Request Header Fields Too Large", 502: b"Bad Gateway",
+                  503: b"Service Unavailable"}
+
+
+class ClientConnection(BoundedReadProtocol):
+    """One connection of a client, or of a proxy in front of this process."""
+
+    __slots__ = ("server", "transport", "parser", "pending", "open_request", "ignores_input", "keep_alive",
+                 "state_entered_at", "head_size", "received_bytes", "message_began", "url", "headers", "body_pieces",
+                 "body_size", "in_head", "in_body", "is_disconnected", "is_write_paused", "queue",
+                 "is_head_request", "content_length", "pace", "upload", "account", "source", "is_chunked",
+                 "is_self_delimited", "expects_continue", "is_read_paused", "is_reused", "streamed_bytes",
+                 "flushed_bytes", "flushed_at", "high_water_mark", "__weakref__")
 
     def __init__(self, server: Server) -> None:
         super().__init__(server.host.budget)
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.waiting: deque[tuple[Asked | BadRequest | Reply | bytes, bool]] = deque()
-        self.open: int | None = None    # the id of the request that is being served
-        self.deaf = False               # nothing more is read: an error was found, or the end announced
-        self.keep = True                # the request at hand lets the connection stay
-        self.lost = self.bare = False   # bare: the request at hand is a HEAD
-        self.choked = False             # the client does not read what it was sent
-        self.place: dict[ClientConnection, None] | None = None  # the server's line that it stands in
-        self.since = time.monotonic()   # when it fell idle, or the request at hand began
+        # Parsed requests that wait for the response before them, each with its keep-alive flag.
+        self.pending: deque[tuple[Asked | BadRequest | LocalReply | bytes, bool]] = deque()
+        self.open_request: int | None = None    # id of the request that is being served
+        self.ignores_input = False              # after an error or the last response: input is discarded
+        self.keep_alive = True                  # whether the connection outlives the current request
+        self.is_disconnected = self.is_head_request = False
+        self.is_write_paused = False            # the client does not read the response
+        self.queue: dict[ClientConnection, None] | None = None  # the server's state queue that holds the connection
+        self.state_entered_at = time.monotonic()    # when it became idle or the current request began
         self.in_head = self.in_body = False
-        self.upload: Upload | None = None   # the open request's body, while it is passed on as it comes
-        self.source: Source | None = None   # of the answer that is passed on as it comes
-        self.chunks = False             # that is framed in chunks
-        self.framed = True              # it tells its end, in chunks or by its length
-        self.passed = self.drained = 0  # bytes of such answers, written and taken by the client
-        self.drained_at = 0.0           # when the latter last grew
-        self.mark = MOST_UNREAD
+        self.upload: Upload | None = None       # body of the open request while it is streamed to a backend
+        self.source: Source | None = None       # of the response that is streamed
+        self.is_chunked = False                 # the streamed response has chunked framing
+        self.is_self_delimited = True           # it has chunked framing or a length, so its end is recognizable
+        self.streamed_bytes = self.flushed_bytes = 0    # of streamed responses: written, and accepted by the client
+        self.flushed_at = 0.0                   # when `flushed_bytes` last grew
+        self.high_water_mark = MAX_UNREAD_RESPONSE_BYTES
         self.account = Account(self.budget)
-        self.again = False              # it was idle before, and asked again
-        self.halted = False             # reading is paused: the body has nowhere to go
-        self._begin()
+        self.is_reused = False                  # it was idle before, and then sent another request
+        self.is_read_paused = False             # back-pressure: the backend does not accept the body
+        self._reset_message()
 
-    def _begin(self) -> None:
-        self.head_size = self.body_size = self.taken = 0
-        self.method_url = b""
+    def _reset_message(self) -> None:
+        self.head_size = self.body_size = self.received_bytes = 0
+        self.url = b""
         self.headers: list[tuple[bytes, bytes]] = []
-        self.body: list[bytes] = []
-        self.length: int | None = None
-        self.pace: Pace | None = None   # of a body that didn't come with its head
-        self.expects = False            # the client waits for a word before it sends its body
+        self.body_pieces: list[bytes] = []
+        self.content_length: int | None = None
+        self.pace: Pace | None = None   # of a body that did not arrive together with its head
+        self.expects_continue = False   # the client waits for "100 Continue" before it sends its body
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=MOST_UNREAD)
+        transport.set_write_buffer_limits(high=MAX_UNREAD_RESPONSE_BYTES)
         self.server.connections.add(self)
-        self._stand(self.server.coming)
-        self.server.make_room()
-
-    def _stand(self, place: dict[ClientConnection, None] | None, since: float | None = None) -> None:
-        """Move to the end of the line for those in the same state, as of now or of an earlier time."""
-        if self.place is not None:
-            self.place.pop(self, None)
-        self.place = place
-        if place is not None:
-            self.since = time.monotonic() if since is None else since
-            place[self] = None
+        self._enter_queue(self.server.awaiting_request)
+        self.server.evict_excess()
+
+    def _enter_queue(self, queue: dict[ClientConnection, None] | None, entered_at: float | None = None) -> None:
+        """Move to the end of the queue for another state, as of now or of the earlier moment `entered_at`."""
+        if self.queue is not None:
+            self.queue.pop(self, None)
+        self.queue = queue
+        if queue is not None:
+            self.state_entered_at = time.monotonic() if entered_at is None else entered_at
+            queue[self] = None
 
     def pause_writing(self) -> None:
-        self.choked = True
+        self.is_write_paused = True
         if self.source is not None:
             self.source.pause()
 
     def resume_writing(self) -> None:
-        self.choked = False
+        self.is_write_paused = False
         if self.source is not None:
             self.account.hold(self.transport.get_write_buffer_size())
             self.source.resume()
-        self._next()
+        self._serve_next()
 
     def data_received(self, data: bytes) -> None:
-        if self.deaf:
-            self.taken += len(data)
-            if self.taken > MOST_DRAINED and self.place is self.server.leaving:
-                self.transport.abort()      # the answer is written; the rest is not worth the reading
+        if self.ignores_input:
+            self.received_bytes += len(data)
+            if self.received_bytes > MAX_DISCARDED_BYTES and self.queue is self.server.closing:
+                self.transport.abort()      # the response is written; reading the rest costs more than it is worth
             return
-        self.fresh = False
+        self.message_began = False
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._fault(BadRequest("no other protocol is spoken here"))
+            self._reject(BadRequest("no other protocol is spoken here"))
         except httptools.HttpParserError as error:
-            self._fault(BadRequest(f"it can't be read: {error}"))
-        if (self.in_head or self.in_body) and not self.fresh:   # a fresh one began within these bytes
-            # Guards the memory: a field or trailer without an end is gathered by the parser, unseen here.
-            self.taken += len(data)
-            if self.in_head and self.taken > MOST_HEAD:
-                self._fault(BadRequest("the head is too long", 431))
-            elif self.taken > MOST_TAKEN + 8 * self.body_size:
-                self._fault(BadRequest("it has no end", 413))
+            self._reject(BadRequest(f"it can't be read: {error}"))
+        if (self.in_head or self.in_body) and not self.message_began:   # no message began within these bytes
+            # Bounds memory: the parser buffers an endless field or trailer without calling back.
+            self.received_bytes += len(data)
+            if self.in_head and self.received_bytes > MAX_HEAD_BYTES:
+                self._reject(BadRequest("the head is too long", 431))
+            elif self.received_bytes > MAX_FRAMING_BYTES + 8 * self.body_size:
+                self._reject(BadRequest("it has no end", 413))
         if self.in_head:
-            if self.place is self.server.idle or self.place is self.server.once:
-                self._stand(self.server.begun)      # its time to come whole runs from now
-            elif self.place is self.server.coming:
-                self._stand(self.server.begun, self.since)  # from the connect
-        elif self.in_body and not self.deaf:
-            self._comes()
-        self._next()
-
-    def _comes(self) -> None:
-        """A body that did not come with its head: it has to keep a pace, and is passed on once large."""
+            if self.queue is self.server.idle or self.queue is self.server.idle_after_one:
+                self._enter_queue(self.server.receiving_head)  # HEAD_TIMEOUT_S runs from now
+            elif self.queue is self.server.awaiting_request:
+                self._enter_queue(self.server.receiving_head, self.state_entered_at)  # from the connect
+        elif self.in_body and not self.ignores_input:
+            self._on_body_progress()
+        self._serve_next()
+
+    def _on_body_progress(self) -> None:
+        """Handle a body that did not arrive with its head: check its rate, and stream it once it is large."""
         now = time.monotonic()
         if self.pace is None:
             self.pace = Pace(now)
             self.bound_reads(True)
-        if self.expects and self.open is None and not self.waiting:
-            self.expects, self.pace = False, Pace(now)
+        if self.expects_continue and self.open_request is None and not self.pending:
+            self.expects_continue, self.pace = False, Pace(now)
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         self.pace.got = self.body_size
-        if self.upload is None and self.place is not self.server.bodies and self.open is None:
-            self._stand(self.server.bodies)
+        if self.upload is None and self.queue is not self.server.receiving_body and self.open_request is None:
+            self._enter_queue(self.server.receiving_body)
         if self.upload is not None:
-            if self.open is not None:
-                self.server.host.came(self.open)
+            if self.open_request is not None:
+                self.server.host.came(self.open_request)
         else:
             self.account.hold(self.body_size)
-            if self.body_size >= self.budget.held and self.open is None and not self.waiting:
-                self._pass_on(now)
-        if not self.deaf:   # else the rest is read and dropped, so that the answer isn't lost with a reset
-            self._throttle(now)
-
-    def _pass_on(self, now: float) -> None:
-        """Ask for the request before it has come whole, and pass the rest of it on as it comes."""
-        upload = Upload(self.length)
+            if self.body_size >= self.budget.held and self.open_request is None and not self.pending:
+                self._start_streaming_upload(now)
+        if not self.ignores_input:   # else reads on and discards, as a reset would lose the response
+            self._apply_back_pressure(now)
+
+    def _start_streaming_upload(self, now: float) -> None:
+        """Admit the request before its body is complete, and stream the rest of the body to the backend."""
+        upload = Upload(self.content_length)
         try:
-            asked = self._read(b"", upload)
-        except BadRequest as fault:
-            return self._fault(fault)
-        upload.add(b"".join(self.body))
-        self.body, self.upload = [], upload
-        if isinstance(asked, Reply):    # the rest of its body is read and dropped
+            request = self._read_request(b"", upload)
+        except BadRequest as error:
+            return self._reject(error)
+        upload.add(b"".join(self.body_pieces))
+        self.body_pieces, self.upload = [], upload
+        if isinstance(request, LocalReply):    # the rest of its body is read and discarded
             upload.drop()
             self.account.close()
         else:
-            asked.coming = self.pace.expected(now, upload.missing)
+            request.coming = self.pace.expected(now, upload.missing)
             self.account.flow()
-        self.waiting.append((asked, self.parser.should_keep_alive()))
+        self.pending.append((request, self.parser.should_keep_alive()))
 
-    def _throttle(self, now: float) -> None:
-        """Read on only while there is room for what comes."""
+    def _apply_back_pressure(self, now: float) -> None:
+        """Pause reading while the body's buffer is full."""
         if self.upload is not None:
             self.account.hold(self.upload.held)
-            full = self.upload.held >= self.budget.held
+            is_full = self.upload.held >= self.budget.held
         else:   # it waits for the requests before it
-            full = self.in_body and self.body_size >= self.budget.held
-        if full and not self.halted and not self.lost:
-            self.halted = True
+            is_full = self.in_body and self.body_size >= self.budget.held
+        if is_full and not self.is_read_paused and not self.is_disconnected:
+            self.is_read_paused = True
             self.transport.pause_reading()
             self.pace.pause(now)
-        elif not full and self.halted:
-            self._read_on(now)
+        elif not is_full and self.is_read_paused:
+            self._resume_reading(now)
 
-    def _read_on(self, now: float) -> None:
-        if self.halted and not self.lost:
-            self.halted = False
+    def _resume_reading(self, now: float) -> None:
+        if self.is_read_paused and not self.is_disconnected:
+            self.is_read_paused = False
             self.transport.resume_reading()
             if self.pace is not None:
                 self.pace.resume(now)
 
     def hung_up(self) -> bool:
-        """Whether the client has closed its side, also where that has not been read yet."""
-        return self.lost or bool(hung_up([self]))
+        """Whether the client has closed its side, even if the end of the stream is still unread."""
+        return self.is_disconnected or bool(closed_by_client([self]))
 
     def taken_on(self) -> None:
-        """Some of the body that is passed on has left us."""
-        if self.upload is not None or self.halted:
-            self._throttle(time.monotonic())
+        """Resume reading if allowed: part of the streamed body was written to the backend."""
+        if self.upload is not None or self.is_read_paused:
+            self._apply_back_pressure(time.monotonic())
 
-    # What the parser reads.  A fault found here ends the reading, but not before earlier requests' turn.
+    # Parser callbacks.  An error found here ends the reading; the requests before it are still served.
 
     def on_message_begin(self) -> None:
-        self._begin()
-        self.in_head = self.fresh = True
+        self._reset_message()
+        self.in_head = self.message_began = True
 
     def on_url(self, url: bytes) -> None:
-        self.method_url += url
+        self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.in_body:
-            return      # a trailer: too late to count
+            return      # a trailer field: ignored
         self.head_size += len(name) + len(value)
-        self.headers.append((name.lower(), value.rstrip(OWS)))   # the parser leaves what follows the value
+        self.headers.append((name.lower(), value.rstrip(OWS)))   # the parser keeps whitespace after the value
 
     def on_headers_complete(self) -> None:
         self.in_head, self.in_body = False, True
-        if self.deaf:
+        if self.ignores_input:
             return
-        if self.head_size + len(self.method_url) > MOST_HEAD:
-            return self._fault(BadRequest("the head is too long", 431))
+        if self.head_size + len(self.url) > MAX_HEAD_BYTES:
+            return self._reject(BadRequest("the head is too long", 431))
         length = coding = None
         for name, value in self.headers:
             if name == b"content-length":
@@ -243,347 +245,349 @@
             elif name == b"transfer-encoding":
                 coding = value
             elif name == b"expect" and value.lower() == b"100-continue":
-                self.expects = True
+                self.expects_continue = True
         if coding is not None and (length is not None or coding.lower() != b"chunked"
                                    or self.parser.get_http_version() != "1.1"):
-            # Guards against a second request hidden in a body whose end others see elsewhere.
-            return self._fault(BadRequest("its framing is ambiguous"))
+            # Prevents request smuggling: other hops could see the end of this body at another byte.
+            return self._reject(BadRequest("its framing is ambiguous"))
         if length is not None and (not length.isdigit() or len(length) > 18):
-            return self._fault(BadRequest("its length is none"))
-        self.length = None if length is None else int(length)
-        if self.length is not None and self.length > MOST:
-            self._fault(BadRequest("its body is too large", 413))
+            return self._reject(BadRequest("its length is none"))
+        self.content_length = None if length is None else int(length)
+        if self.content_length is not None and self.content_length > MOST:
+            self._reject(BadRequest("its body is too large", 413))
 
     def on_body(self, body: bytes) -> None:
-        if self.deaf:
+        if self.ignores_input:
             return
         self.body_size += len(body)
         if self.body_size > MOST:
-            return self._fault(BadRequest("its body is too large", 413))
+            return self._reject(BadRequest("its body is too large", 413))
         if self.upload is not None:
             self.upload.add(body)
         else:
-            self.body.append(body)
+            self.body_pieces.append(body)
 
     def on_message_complete(self) -> None:
         self.in_body = False
-        if self.deaf:
+        if self.ignores_input:
             return
         if self.upload is not None:
             self.upload.whole = True
-            if self.open is not None:
-                self.server.host.came(self.open)
-            return self._uploaded()
-        keep = self.parser.should_keep_alive()
-        if self.method_url == b"/ready" and self.parser.get_method() == b"GET":
-            self.waiting.append((b"/ready", keep))
+            if self.open_request is not None:
+                self.server.host.came(self.open_request)
+            return self._finish_upload()
+        keep_alive = self.parser.should_keep_alive()
+        if self.url == b"/ready" and self.parser.get_method() == b"GET":
+            self.pending.append((b"/ready", keep_alive))
         else:
             try:
-                self.waiting.append((self._read(b"".join(self.body)), keep))
-            except BadRequest as fault:
-                return self._fault(fault)
+                self.pending.append((self._read_request(b"".join(self.body_pieces)), keep_alive))
+            except BadRequest as error:
+                return self._reject(error)
         if self.pace is not None:
-            self._read_on(time.monotonic())
+            self._resume_reading(time.monotonic())
             self.bound_reads(False)
             self.pace = None
-        if self.open is None and len(self.waiting) <= 1:
-            return      # the usual client: one at a time
-        # Not the one whose turn it is: a large body that came whole is no reason to refuse what follows it.
-        rest = islice(self.waiting, self.open is None, None)
-        behind = sum(len(asked.body) for asked, _ in rest if isinstance(asked, Asked))
-        if len(self.waiting) > MOST_WAITING or behind > MOST_BEHIND:
-            self.waiting.pop()
-            self._fault(BadRequest("too many requests at once"))
-
-    def _read(self, body: bytes, upload: Upload | None = None) -> Asked | Reply:
+        if self.open_request is None and len(self.pending) <= 1:
+            return      # the usual case: no pipelining
+        # Without the request that is served next: its body may be large, and must not get later requests refused.
+        later = islice(self.pending, self.open_request is None, None)
+        pending_body_bytes = sum(len(request.body) for request, _ in later if isinstance(request, Asked))
+        if len(self.pending) > MAX_PENDING_REQUESTS or pending_body_bytes > MAX_PENDING_BODY_BYTES:
+            self.pending.pop()
+            self._reject(BadRequest("too many requests at once"))
+
+    def _read_request(self, body: bytes, upload: Upload | None = None) -> Asked | LocalReply:
         try:
-            return self.server.reader.read(self.parser.get_method(), self.method_url, self.headers, body,
+            return self.server.reader.read(self.parser.get_method(), self.url, self.headers, body,
                                            upload)
-        except Reply as reply:
+        except LocalReply as reply:
             return reply
 
-    def _uploaded(self) -> None:
-        """The body that is passed on has come whole."""
-        self._read_on(time.monotonic())
+    def _finish_upload(self) -> None:
+        """Return to normal reading: the streamed body is complete."""
+        self._resume_reading(time.monotonic())
         self.bound_reads(False)
         self.pace = self.upload = None
-        if self.open is not None or self.waiting:
-            if self.place is self.server.bodies:
-                self._stand(None)
-        elif self.keep and self.server.life.keeps:      # it was answered before it had come
-            self._rest()
+        if self.open_request is not None or self.pending:
+            if self.queue is self.server.receiving_body:
+                self._enter_queue(None)
+        elif self.keep_alive and self.server.lifecycle.keeps:      # it was answered before the body was complete
+            self._enter_idle()
         else:
-            self._end()
+            self._close_gracefully()
 
-    def _fault(self, fault: BadRequest) -> None:
-        if not self.deaf:
-            self.deaf = True
-            if self.upload is not None and self.open is not None:
-                # Half a request: it never came whole, so it is owed no more than this word.
+    def _reject(self, error: BadRequest) -> None:
+        if not self.ignores_input:
+            self.ignores_input = True
+            if self.upload is not None and self.open_request is not None:
+                # The request stays incomplete: end it at the host, and send only this error.
                 self.upload = None
-                self.server.host.gone(self.open)
-                self.open = None
+                self.server.host.gone(self.open_request)
+                self.open_request = None
                 if self.source is not None:
                     return self.broken()
                 self.account.close()
-            self.waiting.append((fault, False))
-
-    # Answers
-
-    def _next(self) -> None:
-        """Serve the next request, once the one before has its answer."""
-        while self.waiting and self.open is None and not (self.lost or self.choked):
-            what, self.keep = self.waiting.popleft()
-            if isinstance(what, BadRequest):
-                self._write(what.status, (), f"{what}\n".encode(), keep=False)
-            elif isinstance(what, Reply):
-                self.bare = what.bare
-                self._write(what.status, what.headers, what.body, self.keep)
-                self.bare = False
-            elif isinstance(what, bytes):
-                ready = self.server.life.ready
-                self._write(200 if ready else 503, (), b"ready\n" if ready else b"not ready\n", self.keep)
-            elif self.server.host.is_open(what.txn):
-                # Guards against a second copy in another's name: an id is new with every request.
-                self._write(409, (), b"this id is open\n", keep=False)
-            elif self.server.life.too_late(what.coming + what.time_left, time.monotonic()):
-                self.refused(ELSEWHERE_ADVICE)
+            self.pending.append((error, False))
+
+    # Responses
+
+    def _serve_next(self) -> None:
+        """Serve the next pending request, if no other is open."""
+        while self.pending and self.open_request is None and not (self.is_disconnected or self.is_write_paused):
+            item, self.keep_alive = self.pending.popleft()
+            if isinstance(item, BadRequest):
+                self._write_response(item.status, (), f"{item}\n".encode(), keep_alive=False)
+            elif isinstance(item, LocalReply):
+                self.is_head_request = item.is_head_request
+                self._write_response(item.status, item.headers, item.body, self.keep_alive)
+                self.is_head_request = False
+            elif isinstance(item, bytes):
+                ready = self.server.lifecycle.ready
+                self._write_response(200 if ready else 503, (), b"ready\n" if ready else b"not ready\n",
+                                     self.keep_alive)
+            elif self.server.host.is_open(item.txn):
+                # Prevents running a request twice: each request has a new id, so this is a duplicate.
+                self._write_response(409, (), b"this id is open\n", keep_alive=False)
+            elif self.server.lifecycle.too_late(item.coming + item.time_left, time.monotonic()):
+                self.refused(RETRY_ELSEWHERE_AFTER_S)
             else:
-                self._stand(None)
-                self.bare = what.bare
-                self.open = -1      # in case the answer comes before the id is known
-                request = self.server.host.admit(self, what)
-                self.open = request if self.open == -1 else self.open
-                if self.upload is not None and self.open is not None:
-                    self._stand(self.server.bodies)     # it has to keep its pace
+                self._enter_queue(None)
+                self.is_head_request = item.bare
+                self.open_request = -1      # `admit` may answer the request before it returns the id
+                request_id = self.server.host.admit(self, item)
+                self.open_request = request_id if self.open_request == -1 else self.open_request
+                if self.upload is not None and self.open_request is not None:
+                    self._enter_queue(self.server.receiving_body)     # the body's rate is checked
 
     def served(self, answer: Answer) -> None:
-        self._answer(answer.status, [f for f in answer.headers if f[0] not in HOP_BY_HOP], answer.body)
+        self._respond(answer.status, [f for f in answer.headers if f[0] not in HOP_BY_HOP], answer.body)
 
     def refused(self, retry_after: float, status: int = 503) -> None:
-        advice = [(b"retry-after", b"%.3f" % retry_after)] if retry_after > 0.0 else []
-        self._answer(status, advice, b"refused: trying again is harmless\n")
+        retry_header = [(b"retry-after", b"%.3f" % retry_after)] if retry_after > 0.0 else []
+        self._respond(status, retry_header, b"refused: trying again is harmless\n")
 
     def failed(self) -> None:
-        self._answer(502, [], b"failed\n")
+        self._respond(502, [], b"failed\n")
 
     def begin(self, answer: Answer, source: Source) -> None:
-        """The head of an answer that is passed on as it comes, from this source."""
-        keep, headers = self._stays(self.keep), [f for f in answer.headers if f[0] not in HOP_BY_HOP]
-        self.chunks = answer.length is None and self.parser.get_http_version() != "1.0"
+        """Write the head of a response whose body is streamed from `source`."""
+        keep_alive, headers = self._stays_open(self.keep_alive), [f for f in answer.headers if f[0] not in HOP_BY_HOP]
+        self.is_chunked = answer.length is None and self.parser.get_http_version() != "1.0"
         if answer.length is not None:
             headers.append((b"content-length", b"%d" % answer.length))
-        elif self.chunks:
+        elif self.is_chunked:
             headers.append((b"transfer-encoding", b"chunked"))
         else:
-            keep = False    # its end is the connection's
-        self.keep, self.source, self.framed = keep, source, answer.length is not None or self.chunks
+            keep_alive = False    # the close of the connection marks its end
+        self.keep_alive, self.source, self.is_self_delimited = (
+            keep_alive, source, answer.length is not None or self.is_chunked)
         self.account.flow()
-        self.passed = self.drained = 0
-        self.drained_at = time.monotonic()
-        self.server.flowing[self] = None
-        self.transport.write(self._head(answer.status, headers, keep))
+        self.streamed_bytes = self.flushed_bytes = 0
+        self.flushed_at = time.monotonic()
+        self.server.streaming[self] = None
+        self.transport.write(self._response_head(answer.status, headers, keep_alive))
 
     def more(self, data: bytes) -> None:
-        if self.lost or self.bare or not data:
+        if self.is_disconnected or self.is_head_request or not data:
             return
-        if (mark := self.budget.mark) != self.mark:
-            self.mark = mark
+        if (mark := self.budget.mark) != self.high_water_mark:
+            self.high_water_mark = mark
             self.transport.set_write_buffer_limits(high=mark)
-        self.passed += len(data)
-        self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunks else data)
+        self.streamed_bytes += len(data)
+        self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.is_chunked else data)
         self.account.hold(self.transport.get_write_buffer_size())
 
     def done(self) -> None:
-        """The answer that was passed on has come whole."""
-        self._flown()
-        if self.lost:
+        """Finish a streamed response that is complete."""
+        self._end_streaming()
+        if self.is_disconnected:
             return
-        if self.chunks and not self.bare:
+        if self.is_chunked and not self.is_head_request:
             self.transport.write(b"0\r\n\r\n")
-        self._after(self.keep)
+        self._after_response(self.keep_alive)
 
     def broken(self) -> None:
-        """The answer that is passed on will not come whole: it ends so that the client can tell."""
-        self._flown()
-        if self.lost:
+        """Abort a streamed response that stays incomplete, so that the client can tell."""
+        self._end_streaming()
+        if self.is_disconnected:
             return
-        if self.framed:
-            return self._end()
-        # Its end is the connection's: an orderly close would pass for it, so only a reset tells.
-        held = self.transport.get_extra_info("socket")
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        if self.is_self_delimited:
+            return self._close_gracefully()
+        # The close of the connection marks the end of this response, so only a reset shows that it is truncated.
+        client_socket = self.transport.get_extra_info("socket")
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.transport.abort()
 
-    def _flown(self) -> None:
-        self.open, self.source = None, None
-        self.server.flowing.pop(self, None)
+    def _end_streaming(self) -> None:
+        self.open_request, self.source = None, None
+        self.server.streaming.pop(self, None)
         self.account.close()
-        if self.mark != MOST_UNREAD and not self.lost:
-            self.mark = MOST_UNREAD
-            self.transport.set_write_buffer_limits(high=MOST_UNREAD)
-
-    def takes(self, now: float) -> bool:
-        """Whether the client has taken anything of what it was sent lately; true where nothing is left."""
-        left = self.transport.get_write_buffer_size()
-        if not left or self.passed - left > self.drained:
-            self.drained, self.drained_at = self.passed - left, now
-        return now - self.drained_at < STOPPED
-
-    def _answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        self.open = None
+        if self.high_water_mark != MAX_UNREAD_RESPONSE_BYTES and not self.is_disconnected:
+            self.high_water_mark = MAX_UNREAD_RESPONSE_BYTES
+            self.transport.set_write_buffer_limits(high=MAX_UNREAD_RESPONSE_BYTES)
+
+    def is_client_reading(self, now: float) -> bool:
+        """Whether the client accepted data within the last `STOPPED` seconds, or has nothing left to read."""
+        unsent_bytes = self.transport.get_write_buffer_size()
+        if not unsent_bytes or self.streamed_bytes - unsent_bytes > self.flushed_bytes:
+            self.flushed_bytes, self.flushed_at = self.streamed_bytes - unsent_bytes, now
+        return now - self.flushed_at < STOPPED
+
+    def _respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        self.open_request = None
         if self.upload is not None:
             self.upload.drop()
-            self._throttle(time.monotonic())
+            self._apply_back_pressure(time.monotonic())
         if self.account.bytes or self.account.flowing:
             self.account.close()
-        if not self.lost:
-            self._write(status, headers, body, self.keep)
-            if self.waiting:
-                # Not at once: a line of requests that are refused in turn would nest ever deeper.
-                self.server.loop.call_soon(self._next)
-
-    def _write(self, status: int, headers, body: bytes, keep: bool) -> None:
-        keep = self._stays(keep)
-        head = self._head(status, (*headers, (b"content-length", b"%d" % len(body))), keep)
-        self.transport.write(head if self.bare else head + body)
-        self._after(keep)
-
-    def _stays(self, keep: bool) -> bool:
-        """What was taken with a request, or has begun to come, is answered before the connection is left."""
-        return keep and (self.server.life.keeps or bool(self.waiting) or self.in_head or self.in_body)
-
-    def _head(self, status: int, headers: Iterable[tuple[bytes, bytes]], keep: bool) -> bytes:
-        lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b"Status"))]
+        if not self.is_disconnected:
+            self._write_response(status, headers, body, self.keep_alive)
+            if self.pending:
+                # Deferred: a series of refused pipelined requests would recurse ever deeper.
+                self.server.loop.call_soon(self._serve_next)
+
+    def _write_response(self, status: int, headers, body: bytes, keep_alive: bool) -> None:
+        keep_alive = self._stays_open(keep_alive)
+        head = self._response_head(status, (*headers, (b"content-length", b"%d" % len(body))), keep_alive)
+        self.transport.write(head if self.is_head_request else head + body)
+        self._after_response(keep_alive)
+
+    def _stays_open(self, keep_alive: bool) -> bool:
+        """Whether to keep the connection open: during a drain, only while requests are pending or arriving."""
+        return keep_alive and (self.server.lifecycle.keeps or bool(self.pending) or self.in_head or self.in_body)
+
+    def _response_head(self, status: int, headers: Iterable[tuple[bytes, bytes]], keep_alive: bool) -> bytes:
+        lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES.get(status, b"Status"))]
         lines += [name + b": " + value for name, value in headers]
-        if not keep:
+        if not keep_alive:
             lines.append(b"connection: close")
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
-    def _after(self, keep: bool) -> None:
-        """An answer is written: wait for what comes next, or leave."""
-        if self.in_body and not self.deaf and (keep or self.upload is not None):
-            self._stand(self.server.bodies)
-            self.keep = keep
-            self.server.loop.call_soon(self._go_on_reading)
-        elif keep:
-            self._stand(self.server.begun) if self.in_head else self._rest()
+    def _after_response(self, keep_alive: bool) -> None:
+        """After a response is written: wait for the next request, or close."""
+        if self.in_body and not self.ignores_input and (keep_alive or self.upload is not None):
+            self._enter_queue(self.server.receiving_body)
+            self.keep_alive = keep_alive
+            self.server.loop.call_soon(self._resume_body)
+        elif keep_alive:
+            self._enter_queue(self.server.receiving_head) if self.in_head else self._enter_idle()
         else:
-            self._end()
+            self._close_gracefully()
 
-    def _rest(self) -> None:
-        """Idle, and kept: in the line for those who asked once, or for the others."""
-        self._stand(self.server.idle if self.again else self.server.once)
-        self.again = True
+    def _enter_idle(self) -> None:
+        """Enter the idle queue for connections after their first request, or the one for reused connections."""
+        self._enter_queue(self.server.idle if self.is_reused else self.server.idle_after_one)
+        self.is_reused = True
 
-    def _go_on_reading(self) -> None:
-        """A body that had to wait for the answer before it, or whose request has its answer already."""
-        if self.in_body and not self.deaf and self.open is None:
-            self._comes()
-            self._next()
+    def _resume_body(self) -> None:
+        """Go on with a body that waited for the response before it, or whose request is already answered."""
+        if self.in_body and not self.ignores_input and self.open_request is None:
+            self._on_body_progress()
+            self._serve_next()
 
-    def _end(self) -> None:
-        """Close after what is written; what still comes in is read and dropped for a while.
+    def _close_gracefully(self) -> None:
+        """Close after the pending output; read and discard further input for up to `LINGER_TIMEOUT_S`.
 
-        Guards the answer: closing with unread bytes would reset the connection and take it along.
+        Closing with unread input would reset the connection, and the client would lose the response.
         """
-        self.deaf, self.taken = True, 0
-        self.waiting.clear()
-        self.headers, self.body, self.upload = [], [], None
+        self.ignores_input, self.received_bytes = True, 0
+        self.pending.clear()
+        self.headers, self.body_pieces, self.upload = [], [], None
         self.account.close()
-        self._stand(self.server.leaving)
+        self._enter_queue(self.server.closing)
         if self.transport.can_write_eof():
             self.transport.write_eof()
 
     def eof_received(self) -> bool:
-        """The client has closed its side: gone, and owed nothing more."""
+        """Close the connection: a client that closed its side is treated as disconnected."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.lost = self.deaf = True
+        self.is_disconnected = self.ignores_input = True
         self.server.connections.discard(self)
-        self._stand(None)
-        if self.open is not None and self.open > 0:
-            self.server.host.gone(self.open)
-        self.open = self.source = self.upload = None
+        self._enter_queue(None)
+        if self.open_request is not None and self.open_request > 0:
+            self.server.host.gone(self.open_request)
+        self.open_request = self.source = self.upload = None
         self.account.close()
-        self.server.flowing.pop(self, None)
-        self.waiting.clear()
-        # Guards the memory: parser and protocol hold each other, and collections are rare.
+        self.server.streaming.pop(self, None)
+        self.pending.clear()
+        # Breaks the reference cycle of parser and protocol, as garbage collections are rare.
         self.parser = None
 
-    # Upkeep
+    # Time-outs
 
-    def overdue(self) -> None:
-        """A request that doesn't come whole is told off; nobody waits for one that never began."""
-        if self.transport.get_write_buffer_size() and self.takes(time.monotonic()):
-            self._stand(self.place)     # it still reads what it was sent
-        elif self.choked or self.deaf:
-            self.transport.abort()      # it does not read, so there is no telling it
+    def handle_timeout(self) -> None:
+        """Answer 408 if a request has begun; otherwise close the connection."""
+        if self.transport.get_write_buffer_size() and self.is_client_reading(time.monotonic()):
+            self._enter_queue(self.queue)     # it still reads the response
+        elif self.is_write_paused or self.ignores_input:
+            self.transport.abort()      # it does not read, so an error response would not arrive
         elif not (self.in_head or self.in_body):
             self.transport.close()
         else:
-            self._fault(BadRequest("it has not come whole in time", 408))
-            self._next()
+            self._reject(BadRequest("it has not come whole in time", 408))
+            self._serve_next()
 
 
-def unread(connections: Iterable[ClientConnection]) -> set[ClientConnection]:
-    """Those for which the kernel holds something that was not read yet."""
-    numbers, poll = {c.transport.get_extra_info("socket").fileno(): c for c in connections}, select.poll()
-    for number in numbers:
-        poll.register(number, select.POLLIN)
-    return {numbers[number] for number, _ in poll.poll(0)}
+def with_unread_input(connections: Iterable[ClientConnection]) -> set[ClientConnection]:
+    """The connections for which the kernel holds input that has not been read yet."""
+    by_descriptor, poll = {c.transport.get_extra_info("socket").fileno(): c for c in connections}, select.poll()
+    for descriptor in by_descriptor:
+        poll.register(descriptor, select.POLLIN)
+    return {by_descriptor[descriptor] for descriptor, _ in poll.poll(0)}
 
 
-def hung_up(connections: Iterable[ClientConnection]) -> list[ClientConnection]:
-    """Those whose client has closed its side, also where that is not read as reading is paused."""
-    numbers, poll = {c.transport.get_extra_info("socket").fileno(): c for c in connections}, select.poll()
-    for number in numbers:
-        poll.register(number, select.POLLRDHUP)
-    return [numbers[number] for number, _ in poll.poll(0)]
+def closed_by_client(connections: Iterable[ClientConnection]) -> list[ClientConnection]:
+    """The connections whose client has closed its side, even if that is unread because reading is paused."""
+    by_descriptor, poll = {c.transport.get_extra_info("socket").fileno(): c for c in connections}, select.poll()
+    for descriptor in by_descriptor:
+        poll.register(descriptor, select.POLLRDHUP)
+    return [by_descriptor[descriptor] for descriptor, _ in poll.poll(0)]
 
 
 class Server:
-    """The listening socket and its connections."""
+    """The listening socket and its client connections."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, host: Host, room: Plan, life: LifeCycle,
-                 reader: Reader | None = None) -> None:
-        self.loop, self.host, self.room, self.life = loop, host, room, life
-        self.reader = reader or Reader(host.settings)
+    def __init__(self, loop: asyncio.AbstractEventLoop, host: Host, descriptor_plan: Plan, lifecycle: LifeCycle,
+                 reader: RequestReader | None = None) -> None:
+        self.loop, self.host, self.descriptor_plan, self.lifecycle = loop, host, descriptor_plan, lifecycle
+        self.reader = reader or RequestReader(host.settings)
         self.connections: set[ClientConnection] = set()
-        # Those without a request that is open, in lines, the oldest first; the others stand in none.
-        self.coming: dict[ClientConnection, None] = {}   # new, and nothing of a request has come
-        self.begun: dict[ClientConnection, None] = {}    # a request's head has begun to come
-        self.once: dict[ClientConnection, None] = {}     # answered one time, and kept
-        self.idle: dict[ClientConnection, None] = {}     # answered again and again, and kept
-        self.leaving: dict[ClientConnection, None] = {}  # told that they are closed
-        self.bodies: dict[ClientConnection, None] = {}   # with a body that comes, its request open or not
-        self.flowing: dict[ClientConnection, None] = {}  # of any of these, with an answer that is passed on
+        # State queues of the connections without an open request, oldest first; the others are in no queue.
+        self.awaiting_request: dict[ClientConnection, None] = {}    # new, without a byte of a request
+        self.receiving_head: dict[ClientConnection, None] = {}      # with a request head that is incomplete
+        self.idle_after_one: dict[ClientConnection, None] = {}      # idle after their first request
+        self.idle: dict[ClientConnection, None] = {}                # idle after several requests
+        self.closing: dict[ClientConnection, None] = {}             # the last response is written
+        self.receiving_body: dict[ClientConnection, None] = {}      # with an incomplete body, request open or not
+        self.streaming: dict[ClientConnection, None] = {}           # in any state, with a response that is streamed
         self.listener: asyncio.Server | None = None
-        self.head_timeout, self.idle_timeout = HEAD_TIMEOUT, IDLE_TIMEOUT
+        self.head_timeout_s, self.idle_timeout_s = HEAD_TIMEOUT_S, IDLE_TIMEOUT_S
 
-    async def listen(self, at: tuple[str, int] | socket.socket) -> None:
-        """At an address of our own, or on a socket that listens already."""
-        where = {"sock": at} if isinstance(at, socket.socket) else {
-            "host": at[0], "port": at[1], "reuse_address": True}
+    async def listen(self, address: tuple[str, int] | socket.socket) -> None:
+        """Listen on an address, or on an inherited socket that listens already."""
+        options = {"sock": address} if isinstance(address, socket.socket) else {
+            "host": address[0], "port": address[1], "reuse_address": True}
         self.listener = await self.loop.create_server(
-            lambda: ClientConnection(self), backlog=BACKLOG, **where)
-
-    def make_room(self) -> None:
-        """Close connections while there are too many: such as are owed nothing, the oldest of their kind."""
-        over = len(self.connections) - self.room.clients
-        lines = {Leaves.LEAVING: self.leaving, Leaves.SILENT: self.coming, Leaves.ONCE: self.once,
-                 Leaves.IDLE: self.idle, Leaves.BEGUN: self.begun}
-        for _ in range(over):
-            oldest = {kind: next(iter(line)).since for kind, line in lines.items() if line}
+            lambda: ClientConnection(self), backlog=ACCEPT_BACKLOG, **options)
+
+    def evict_excess(self) -> None:
+        """Close connections over the descriptor limit: only ones without an open request, by `who_leaves`."""
+        excess = len(self.connections) - self.descriptor_plan.clients
+        queues = {Leaves.LEAVING: self.closing, Leaves.SILENT: self.awaiting_request,
+                  Leaves.ONCE: self.idle_after_one, Leaves.IDLE: self.idle, Leaves.BEGUN: self.receiving_head}
+        for _ in range(excess):
+            oldest = {kind: next(iter(queue)).state_entered_at for kind, queue in queues.items() if queue}
             if (kind := who_leaves(oldest, time.monotonic())) is None:
                 return
-            connection = next(iter(lines[kind]))
-            if kind in (Leaves.ONCE, Leaves.IDLE) and unread([connection]):
-                connection._stand(lines[kind])  # a request has come: read in this turn of the loop
+            connection = next(iter(queues[kind]))
+            if kind in (Leaves.ONCE, Leaves.IDLE) and with_unread_input([connection]):
+                connection._enter_queue(queues[kind])   # a request has arrived: it is read in this turn of the loop
                 continue
-            # As good as gone: counted once, though the loop tells of the end only later.
-            connection._stand(None)
+            # Removed at once, so that it is counted once: the loop reports the close only later.
+            connection._enter_queue(None)
             self.connections.discard(connection)
             if kind in (Leaves.ONCE, Leaves.IDLE):
                 connection.transport.close()
@@ -591,19 +595,20 @@
                 connection.transport.abort()
 
     def sweep(self) -> None:
+        """Apply the time-outs; to be called periodically."""
         now = time.monotonic()
-        for line, most in ((self.coming, self.head_timeout), (self.idle, self.idle_timeout),
-                           (self.once, self.idle_timeout), (self.leaving, LINGER)):
-            for connection in list(takewhile(lambda c: c.since < now - most, line)):  # noqa: B023
-                connection.overdue()
-        for connection in [c for c in self.begun if c.since < now - self.head_timeout]:
-            connection.overdue()
-        for connection in [c for c in self.bodies if c.pace is not None and c.pace.late(now)]:
-            connection.overdue()
-        for connection in [c for c in self.flowing if not c.takes(now)]:
+        for queue, timeout in ((self.awaiting_request, self.head_timeout_s), (self.idle, self.idle_timeout_s),
+                               (self.idle_after_one, self.idle_timeout_s), (self.closing, LINGER_TIMEOUT_S)):
+            for connection in list(takewhile(lambda c: c.state_entered_at < now - timeout, queue)):  # noqa: B023
+                connection.handle_timeout()
+        for connection in [c for c in self.receiving_head if c.state_entered_at < now - self.head_timeout_s]:
+            connection.handle_timeout()
+        for connection in [c for c in self.receiving_body if c.pace is not None and c.pace.late(now)]:
+            connection.handle_timeout()
+        for connection in [c for c in self.streaming if not c.is_client_reading(now)]:
             connection.transport.abort()
-        for connection in hung_up([c for c in self.bodies if c.halted]):
-            connection.transport.abort()    # gone, as `eof_received` has it
+        for connection in closed_by_client([c for c in self.receiving_body if c.is_read_paused]):
+            connection.transport.abort()    # disconnected, as in `eof_received`
 
     def stop_listening(self) -> None:
         if self.listener is not None:
@@ -616,14 +621,15 @@
             connection.transport.abort()
 
     def close_idle(self) -> None:
-        """Close the connections that are owed nothing, but none that has something to be read.
+        """Close the connections without an open request, except ones with unread input.
 
-        Guards requests that cross the close: what the kernel holds unread is read in this turn of the loop.
-        One just opened has a moment to send its request.
+        A request may cross the close: input that the kernel holds is read in this turn of the loop.  A new
+        connection has `YOUNG` seconds to send its request.
         """
-        young = time.monotonic() - YOUNG
-        connections = [*self.once, *self.idle, *(c for c in self.coming if c.since < young)]
-        waited_for = unread(connections)
+        opened_before = time.monotonic() - YOUNG
+        connections = [*self.idle_after_one, *self.idle,
+                       *(c for c in self.awaiting_request if c.state_entered_at < opened_before)]
+        having_input = with_unread_input(connections)
         for connection in connections:
-            if connection not in waited_for:
+            if connection not in having_input:
                 connection.transport.close()
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -13,7 +13,7 @@
 from fennelpoint.invariants import Invariant, violations
 from fennelpoint.lifecycle import Event as Life
 from fennelpoint.lifecycle import LifeCycle
-from fennelpoint.net.graceful_shutdown import Leaving
+from fennelpoint.net.graceful_shutdown import GracefulShutdown
 from fennelpoint.net.server import Server
 from fennelpoint.state import Cut
 from fennelpoint.system.actions import Send
@@ -87,7 +87,7 @@
         self.refreshes = Paced(REFRESH_PAUSE)
         self.refresh_timer: asyncio.TimerHandle | None = None
         self.stopped = loop.create_future()
-        self.look = Leaving(loop, self.life, self.server, self.host, self._end).look
+        self.look = GracefulShutdown(loop, self.life, self.server, self.host, self._end).check
 
     def allows(self) -> bool:
         """Whether anything may be decided by the configuration in force: its lease holds."""
@@ -173,8 +173,8 @@
     def _apply(self, number: int, data: bytes) -> None:
         version = compile_version(zlib.decompress(data))
         self.reader.take(version)
-        self.server.idle_timeout = max(5.0, version.limits.idle_timeout)
-        self.server.head_timeout = max(2.5, version.limits.header_timeout)
+        self.server.idle_timeout_s = max(5.0, version.limits.idle_timeout)
+        self.server.head_timeout_s = max(2.5, version.limits.header_timeout)
         self.grown()
         self._lend()
         self._refresh()
--- a/fennelpoint/system/proxy/request_parser.py
+++ b/fennelpoint/system/proxy/request_parser.py
@@ -15,7 +15,7 @@
 from fennelpoint.body_buffering import Upload
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.controller_host import Asked
-from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
+from fennelpoint.net.request_parser import BadRequest, LocalReply, RequestReader, body_framing_field
 from fennelpoint.system.config_versions import Holder, Route, Version
 from fennelpoint.system.proxy.queue_timeout import MOST_ADVICE
 
@@ -39,7 +39,7 @@
             self.head, max(1, int(left * 1000)), str(backend).encode(), self.body)
 
 
-class SystemReader(Reader):
+class SystemReader(RequestReader):
     """Reads requests by a version.  Classes and plans only grow, so that their numbers stay.
 
     `leased` tells whether the version is proven now to be the newest, as of a time within the bound of the settings.
@@ -94,7 +94,7 @@
         bare = method == b"HEAD"
         route = version.find(host.decode("latin-1"), path.decode("latin-1"))
         if route is None:
-            raise self._by_version(Reply(404, body=b"there is no such route\n", bare=bare))
+            raise self._by_version(LocalReply(404, body=b"there is no such route\n", is_head_request=bare))
         holder = self._holder(version, route, found.get(b"authorization"), bare)
         left = min(self._left(found, route), route.timeout)
         lines = [method + b" " + url + b" HTTP/1.1"]
@@ -105,7 +105,7 @@
         if holder is not None:
             lines.append(b"X-Tenant-Name: " + holder.name.encode())
         if body or upload is not None or b"content-length" in found or b"transfer-encoding" in found:
-            lines.append(framing(body, upload))
+            lines.append(body_framing_field(body, upload))
         customer = self.plans[holder.name] if holder is not None else PUBLIC
         if holder is not None:
             self.asked[holder.name] = self.asked.get(holder.name, 0) + 1
@@ -120,17 +120,18 @@
         if given is not None and given[:6].lower() == SCHEME:
             holder = version.keys.get(given[6:].strip().decode("latin-1"))
         if holder is None and version.keys and not route.public:
-            raise self._by_version(Reply(401, ((b"www-authenticate", b"Token"),), b"the key is not known\n", bare))
+            raise self._by_version(
+                LocalReply(401, ((b"www-authenticate", b"Token"),), b"the key is not known\n", bare))
         return holder
 
-    def _by_version(self, reply: Reply) -> Reply:
+    def _by_version(self, reply: LocalReply) -> LocalReply:
         """A refusal by the version that is held here, if that is leased."""
-        return reply if self.leased() else self._not_leased(reply.bare)
+        return reply if self.leased() else self._not_leased(reply.is_head_request)
 
     @staticmethod
-    def _not_leased(bare: bool = False) -> Reply:
+    def _not_leased(bare: bool = False) -> LocalReply:
         """What a request is told that nothing is decided on: it has not run, and may be sent again."""
-        return Reply(503, ((b"retry-after", RETRY_AFTER),), b"refused: trying again is harmless\n", bare)
+        return LocalReply(503, ((b"retry-after", RETRY_AFTER),), b"refused: trying again is harmless\n", bare)
 
     def _left(self, found: dict[bytes, bytes], route: Route) -> float:
         given = found.get(b"x-deadline-remaining")
--- a/tests/bgp/stalling.py
+++ b/tests/bgp/stalling.py
@@ -6,7 +6,7 @@
 import sys
 
 from fennelpoint.net.discovery import parse_address
-from fennelpoint.net.heartbeat import Beat
+from fennelpoint.net.heartbeat import Heartbeat
 
 
 def spin() -> None:
@@ -16,7 +16,7 @@
 
 async def main() -> None:
     loop = asyncio.get_running_loop()
-    beat = Beat(loop, parse_address(sys.argv[1], "address"), lambda: ("up", True))
+    beat = Heartbeat(loop, parse_address(sys.argv[1], "address"), lambda: ("up", True))
     await beat.start()
     loop.add_reader(sys.stdin, spin)
     await asyncio.sleep(600)
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -10,7 +10,7 @@
 from fennelpoint.body_buffering import Budget
 from fennelpoint.net.backends import Exchange
 from fennelpoint.net.controller_runtime import Clock
-from fennelpoint.net.request_parser import BadRequest, Reply
+from fennelpoint.net.request_parser import BadRequest, LocalReply
 from fennelpoint.system.config_versions import Version
 from fennelpoint.system.proxy.controller import Decider
 from fennelpoint.system.proxy.controller_host import SystemBackends
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("url, key, status", [(b"/none/1", b"k1", 404), (b"/x", b"k1", 404), (b"/x/1", b"", 401),
                                               (b"/x/1", b"nobody", 401)])
 def test_without_a_route_or_a_known_key_it_is_answered_here(url, key, status) -> None:
-    with pytest.raises(Reply) as told:
+    with pytest.raises(LocalReply) as told:
         read(reader(), url, key=key)
     assert told.value.status == status
 
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("url, key", [(b"/none/1", b"k1"), (b"/x/1", b""), (b"/x/1", b"k1"), (b"/open/1", b"")])
 def test_without_a_lease_nothing_is_decided_by_the_version_held(url, key) -> None:
     one = reader(leased=False)
-    with pytest.raises(Reply) as told:
+    with pytest.raises(LocalReply) as told:
         read(one, url, key=key)
     assert told.value.status == 503 and dict(told.value.headers)[b"retry-after"] == b"0.500"
     known = key and url == b"/x/1"
--- a/tests/test_admin_socket.py
+++ b/tests/test_admin_socket.py
@@ -7,7 +7,7 @@
 
 from fennelpoint.file_descriptors import MOST_CALLERS
 from fennelpoint.lifecycle import Phase
-from fennelpoint.net.admin_socket import MOST_LINE
+from fennelpoint.net.admin_socket import MAX_LINE_BYTES
 from fennelpoint.testing import Backend, ask, ok, read_message, request, run, until, world
 
 READY = b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("line", [
-    b"", b"reboot", b"READY now", b"drain ready", b"\xc3\xa4", b"GET /ready HTTP/1.1", b"x" * (MOST_LINE + 1),
+    b"", b"reboot", b"READY now", b"drain ready", b"\xc3\xa4", b"GET /ready HTTP/1.1", b"x" * (MAX_LINE_BYTES + 1),
     b"\x00" * 40, b"\xff\xfe" + "drain".encode("utf-16-le")])
 def test_anything_else_gets_one_no_and_changes_nothing(line):
     async def play() -> None:
@@ -98,15 +98,15 @@
             silent = [await asyncio.open_connection(*made.door) for _ in range(3 * MOST_CALLERS)]
             for _, writer in silent[::2]:
                 writer.write(b"dra")
-            await until(lambda: len(made.ingress.parts["door"].callers) <= MOST_CALLERS)
+            await until(lambda: len(made.ingress.parts["door"].connections) <= MOST_CALLERS)
             began = time.monotonic()
             assert (await call(made, b"ready")).startswith("ACK")
             assert time.monotonic() - began < 0.5
-            assert len(made.ingress.parts["door"].callers) <= MOST_CALLERS
+            assert len(made.ingress.parts["door"].connections) <= MOST_CALLERS
             assert made.ingress.life.phase is Phase.SERVING
             for _, writer in silent:
                 writer.close()
-            await until(lambda: not made.ingress.parts["door"].callers)
+            await until(lambda: not made.ingress.parts["door"].connections)
 
     run(play())
 
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -8,7 +8,7 @@
 from fennelpoint.body_buffering import MOST
 from fennelpoint.net.backends import UpstreamConnection
 from fennelpoint.net.controller_host import LEFT_AT_WORK
-from fennelpoint.net.server import RESET
+from fennelpoint.net.server import RESET_ON_CLOSE
 from fennelpoint.testing import Backend, Fake, ask, read_message, request, run, until, world
 
 MB = 1 << 20
@@ -88,9 +88,9 @@
         async with world(Fake(take_nothing)) as made:
             _, writer = await made.connect()
             writer.write(request("book", bytes(min(MOST, 32 * MB)), left=60_000))
-            await until(lambda: any(c.halted for c in made.ingress.server.connections))
+            await until(lambda: any(c.is_read_paused for c in made.ingress.server.connections))
             # A close alone would wait behind the rest of the body, which nobody reads.
-            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             writer.transport.abort()
             await until(lambda: not made.ingress.host.tickets, 2 * LEFT_AT_WORK)
 
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -12,7 +12,7 @@
 from fennelpoint.interface import BackendState, Status
 from fennelpoint.lifecycle import Event, LifeCycle
 from fennelpoint.net.backends import Backends, Exchange, Upstream, UpstreamConnection
-from fennelpoint.net.request_parser import Reader
+from fennelpoint.net.request_parser import RequestReader
 from fennelpoint.net.server import ClientConnection
 from fennelpoint.settings import from_json
 from fennelpoint.testing import SETTINGS, request
@@ -93,20 +93,21 @@
     """What a connection makes of its bytes: requests, what it says, whether it is done with."""
     life, host, later = LifeCycle(0.0), Host(), []
     life.handle(Event.LISTED, 0.0)
-    server = SimpleNamespace(host=host, reader=Reader(host.settings), life=life, connections=set(), coming={},
-                             begun={}, once={}, idle={}, leaving={}, bodies={}, flowing={},
-                             make_room=lambda: None, loop=SimpleNamespace(call_soon=later.append))
+    server = SimpleNamespace(host=host, reader=RequestReader(host.settings), lifecycle=life, connections=set(),
+                             awaiting_request={}, receiving_head={}, idle_after_one={}, idle={}, closing={},
+                             receiving_body={}, streaming={}, evict_excess=lambda: None,
+                             loop=SimpleNamespace(call_soon=later.append))
     connection = ClientConnection(server)
     connection.connection_made(transport := Transport())
     for piece in pieces:
         connection.data_received(piece)
         while later:
             later.pop(0)()
-    assert transport.reading or connection.deaf
+    assert transport.reading or connection.ignores_input
     # Where it ends is told to the backend by length or in chunks, as it came: both are the same request.
     same = [(head.lower().replace(b"transfer-encoding: chunked", b"content-length: %d" % len(body)), body)
             for head, body in host.got]
-    return same, transport.written, connection.deaf
+    return same, transport.written, connection.ignores_input
 
 
 def cut(data: bytes, at: list[int]) -> list[bytes]:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 from fennelpoint.file_descriptors import plan
 from fennelpoint.handover import tell, tell_rest
 from fennelpoint.handover_record import AHEAD, MOST, OLDEST, BadRecord, Record, decode, encode
-from fennelpoint.net.hot_restart import Relay
+from fennelpoint.net.hot_restart import GenerationRegistry
 from fennelpoint.restart_coordination import WAIT, Give, Serve, Share, Succession, Take
 
 GOOD = Record("n0", "127.0.0.1:80", 3, 4, 1000.0, False, {"customers": [{"key": 1}], "window": 2.5})
@@ -323,27 +323,27 @@
 
 
 def test_a_generation_lives_for_as_long_as_its_process(tmp_path):
-    program = ("import sys, time; from fennelpoint.net.hot_restart import Relay\n"
-               "print(Relay(sys.argv[1], 'n0', 'a:1').generation, flush=True); time.sleep(60)")
+    program = ("import sys, time; from fennelpoint.net.hot_restart import GenerationRegistry\n"
+               "print(GenerationRegistry(sys.argv[1], 'n0', 'a:1').generation, flush=True); time.sleep(60)")
     child = subprocess.Popen([sys.executable, "-c", program, str(tmp_path)], stdout=subprocess.PIPE)
     try:
         assert child.stdout.readline() == b"1\n"
-        relay = Relay(str(tmp_path), "n0", "a:1")
-        assert relay.generation == 2 and relay.living() == {1}
+        relay = GenerationRegistry(str(tmp_path), "n0", "a:1")
+        assert relay.generation == 2 and relay.live_generations() == {1}
         child.kill()
         child.wait()
-        assert relay.living() == set() and not list(tmp_path.glob("*.1.live"))
+        assert relay.live_generations() == set() and not list(tmp_path.glob("*.1.live"))
     finally:
         child.kill()
         child.communicate()
 
 
 def test_starts_at_once_get_generations_of_their_own(tmp_path):
-    relays = [Relay(str(tmp_path), "n0", "a:1") for _ in range(5)]
+    relays = [GenerationRegistry(str(tmp_path), "n0", "a:1") for _ in range(5)]
     assert [r.generation for r in relays] == [1, 2, 3, 4, 5]
-    assert relays[0].living() == {2, 3, 4, 5}
-    relays[3].serves()
-    assert relays[0].one_serves(4) and not relays[0].one_serves(5)
+    assert relays[0].live_generations() == {2, 3, 4, 5}
+    relays[3].mark_serving()
+    assert relays[0].is_serving(4) and not relays[0].is_serving(5)
     for relay in relays:
         relay.close()
     assert not list(tmp_path.iterdir())
@@ -360,29 +360,29 @@
     (lambda path: (path.unlink(), path.mkdir()), "directory"),
 ])
 def test_a_file_that_cant_be_used_is_set_aside_with_one_line(tmp_path, caplog, spoil, says):
-    old, new = Relay(str(tmp_path), "n0", "a:1"), Relay(str(tmp_path), "n0", "a:1")
-    old.write(2, {"window": 3.0})
+    old, new = GenerationRegistry(str(tmp_path), "n0", "a:1"), GenerationRegistry(str(tmp_path), "n0", "a:1")
+    old.write_record(2, {"window": 3.0})
     (path,) = tmp_path.glob("*.word")
     spoil(path)
-    assert new.has(1, False) and new.read(1, False) is None
+    assert new.has_record(1, False) and new.read_record(1, False) is None
     assert len(caplog.records) == 1 and "starts cold" in caplog.text and says in caplog.text
-    assert not new.has(1, False) and list(tmp_path.glob("*.bad"))
+    assert not new.has_record(1, False) and list(tmp_path.glob("*.bad"))
 
 
 def test_a_word_is_read_once(tmp_path):
-    old, new = Relay(str(tmp_path), "n0", "a:1"), Relay(str(tmp_path), "n0", "a:1")
-    old.write(2, {"window": 3.0})
-    old.write(2, {"rest": []}, last=True)
-    assert new.read(1, False) == {"window": 3.0} and not new.has(1, False)
-    assert new.read(1, True) == {"rest": []} and not new.has(1, True)
+    old, new = GenerationRegistry(str(tmp_path), "n0", "a:1"), GenerationRegistry(str(tmp_path), "n0", "a:1")
+    old.write_record(2, {"window": 3.0})
+    old.write_record(2, {"rest": []}, is_last=True)
+    assert new.read_record(1, False) == {"window": 3.0} and not new.has_record(1, False)
+    assert new.read_record(1, True) == {"rest": []} and not new.has_record(1, True)
 
 
 def test_a_folder_that_is_full_or_gone_costs_the_word_and_not_the_process(tmp_path, caplog):
-    old = Relay(str(tmp_path), "n0", "a:1")
+    old = GenerationRegistry(str(tmp_path), "n0", "a:1")
     os.chmod(tmp_path, 0o500)
     old.folder = tmp_path / "gone"
-    old.write(2, {"window": 3.0})
-    assert "can't tell generation 2" in caplog.text
+    old.write_record(2, {"window": 3.0})
+    assert "can't write the handover record for generation 2" in caplog.text
     os.chmod(tmp_path, 0o700)
 
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -188,8 +188,8 @@
             for reader, writer in stopped:
                 reader._limit = 1024    # the test's own reader takes no more than it is asked for
                 writer.write(request(path="/big", left=60_000))
-            await until(lambda: len(made.ingress.server.flowing) == 8)
-            await until(lambda: all(c.choked for c in made.ingress.server.flowing))
+            await until(lambda: len(made.ingress.server.streaming) == 8)
+            await until(lambda: all(c.is_write_paused for c in made.ingress.server.streaming))
             budget = made.ingress.budget
             assert budget.used <= 8 * (body_buffering.MOST_MARK + body_buffering.READ + 64)
             reader, writer = await made.connect()
@@ -214,7 +214,7 @@
             reader, writer = await made.connect()
             reader._limit = 1024
             writer.write(request(left=60_000))
-            await until(lambda: made.ingress.server.flowing)
+            await until(lambda: made.ingress.server.streaming)
             await until(lambda: not made.ingress.server.connections, 5.0)
             await until(lambda: not made.ingress.host.tickets and not made.ingress.backends.all)
             writer.close()
@@ -277,7 +277,7 @@
             body = pattern(32 * MB)
             reader, writer = await made.connect()
             writer.write(request("book", body, left=60_000))
-            await until(lambda: any(c.halted for c in made.ingress.server.connections))
+            await until(lambda: any(c.is_read_paused for c in made.ingress.server.connections))
             assert made.ingress.budget.used <= 2 * body_buffering.MOST_HELD
             backend.go.set()
             line, _, answer = await read_message(reader)
@@ -465,7 +465,7 @@
             writer.write(request(path="/one", left=9000))
             await until(lambda: first.seen)
             writer.write(request("book", BODY, left=5000))
-            await until(lambda: any(c.halted for c in made.ingress.server.connections))
+            await until(lambda: any(c.is_read_paused for c in made.ingress.server.connections))
             assert len(first.seen) == 1
             await asyncio.sleep(0.1)
             first.writers[0].write(ok(b"at last"))
@@ -482,8 +482,8 @@
         async with world(Taker()) as made:
             reader, writer = await made.connect()
             writer.write(request("book", BODY, left=5000, Api_Plan="gold")[:MB])
-            await until(lambda: any(c.deaf for c in made.ingress.server.connections))
-            assert not any(c.halted for c in made.ingress.server.connections)
+            await until(lambda: any(c.ignores_input for c in made.ingress.server.connections))
+            assert not any(c.is_read_paused for c in made.ingress.server.connections)
             writer.write(BODY[:200_000])
             assert (await read_message(reader))[0].split()[1] == "400" and await reader.read() == b""
             writer.close()
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -43,8 +43,8 @@
 
     async def play() -> None:
         async with world(Backend()) as made:
-            made.ingress.server.room = Plan(2, 0, 20)
-            made.ingress.server.head_timeout = MINUTE
+            made.ingress.server.descriptor_plan = Plan(2, 0, 20)
+            made.ingress.server.head_timeout_s = MINUTE
             slow, data = await made.connect(), request(left=5000)
             slow[1].write(data[:30])
             stay = []
@@ -66,7 +66,7 @@
     async def play() -> None:
         backend = Backend(lambda *_: None)
         async with world(backend) as made:
-            made.ingress.server.room = Plan(2, 0, 4)
+            made.ingress.server.descriptor_plan = Plan(2, 0, 4)
             held = [await made.connect() for _ in range(4)]
             for _, writer in held:
                 writer.write(request(left=9000))
@@ -86,7 +86,7 @@
 def test_no_more_are_closed_than_must_be():
     async def play() -> None:
         async with world(Backend()) as made:
-            made.ingress.server.room = Plan(2, 0, 20)
+            made.ingress.server.descriptor_plan = Plan(2, 0, 20)
             idle = []
             for i in range(32):
                 idle.append(await made.connect())
@@ -103,7 +103,7 @@
     """Seen in a replayed incident: the front's own connections were closed for half-written requests."""
     async def play() -> None:
         async with world(Backend()) as made:
-            made.ingress.server.room = Plan(2, 0, 8)
+            made.ingress.server.descriptor_plan = Plan(2, 0, 8)
             front = await made.connect()
             for _ in range(2):
                 front[1].write(request())
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -229,13 +229,13 @@
         async with world(backend) as made:
             reader, writer = await made.connect()
             served = 0
-            while not any(c.choked for c in made.ingress.server.connections):
+            while not any(c.is_write_paused for c in made.ingress.server.connections):
                 writer.write(request(left=20_000))
                 served += 1
                 assert served < 2000
                 await until(lambda: made.ingress.host.waiting == 0 and len(backend.seen) == served)  # noqa: B023
             writer.write(request(left=20_000))
-            await until(lambda: any(c.waiting for c in made.ingress.server.connections))
+            await until(lambda: any(c.pending for c in made.ingress.server.connections))
             assert len(backend.seen) == served
             for _ in range(served + 1):
                 assert len((await read_message(reader))[2]) == 60_000
@@ -303,14 +303,14 @@
     async def play() -> None:
         async with world(Backend()) as made:
             server = made.ingress.server
-            server.room = Plan(2, 0, 20)
+            server.descriptor_plan = Plan(2, 0, 20)
             kept = await made.connect()
             kept[1].write(request())
             await read_message(kept[0])
             crowd = [await made.connect() for _ in range(15)]
-            await until(lambda: len(server.coming) == 15)
-            for connection in server.coming:
-                connection.since -= 1.0     # they have had their moment
+            await until(lambda: len(server.awaiting_request) == 15)
+            for connection in server.awaiting_request:
+                connection.state_entered_at -= 1.0     # they have had their moment
             crowd += [await made.connect() for _ in range(15)]
             await until(lambda: len(server.connections) <= 20)
             for _ in range(3):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -125,7 +125,7 @@
                 await until(lambda sent=load.sent: load.sent > sent + 50)
                 new = made.process()
                 await new.start()
-                assert "told generation" in old.log.read_text()
+                assert "handed its state over to generation" in old.log.read_text()
                 old.process.send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(old.process.wait(), 5.0) == 0
                 old = new
@@ -268,7 +268,7 @@
             made.folder = made.folder + "/gone"
             only = made.process()
             await only.start()
-            assert "has no word for other processes" in only.log.read_text()
+            assert "can't coordinate with other processes" in only.log.read_text()
             reader, writer = await asyncio.open_connection(*made.socket.getsockname())
             writer.write(request())
             assert (await read_message(reader))[0].endswith("200 OK")
