--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -1,4 +1,4 @@
-"""Work for a client that has left ends, where ending it harms nobody (incident GONE)."""
+"""Work for a disconnected client ends where ending it is safe (incident GONE)."""
 
 import asyncio
 import socket
@@ -14,140 +14,142 @@
 MB = 1 << 20
 
 
-class Working(Fake):
-    """A backend that works on each request until its connection closes; it knows which it gave up."""
+class BusyBackend(Fake):
+    """A backend that works on each request until its connection closes; records started and ended requests."""
 
     def __init__(self) -> None:
         super().__init__(self._work)
-        self.began: list[str] = []
+        self.started: list[str] = []
         self.ended: list[str] = []
 
     async def _work(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         line, _, _ = await read_message(reader)
-        self.began.append(line)
+        self.started.append(line)
         await reader.read()
         self.ended.append(line)
 
 
-def test_an_attempt_of_a_repeatable_request_ends_soon_after_its_client_left():
-    async def play() -> None:
-        backend = Working()
-        async with world(backend) as made:
-            _, writer = await made.connect()
+def test_attempt_of_a_repeatable_request_ends_soon_after_its_client_disconnects():
+    async def scenario() -> None:
+        backend = BusyBackend()
+        async with world(backend) as harness:
+            _, writer = await harness.connect()
             writer.write(request(left=60_000))
-            await until(lambda: backend.began)
+            await until(lambda: backend.started)
             writer.transport.abort()
-            await until(lambda: not made.ingress.server.connections)
-            await until(lambda: backend.ended and not made.ingress.host.tickets, LEFT_AT_WORK)
-            assert made.ingress.host.controller.fleet.out == 0
+            await until(lambda: not harness.ingress.server.connections)
+            await until(lambda: backend.ended and not harness.ingress.host.tickets, LEFT_AT_WORK)
+            assert harness.ingress.host.controller.fleet.out == 0
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("lane", ["look", "book"])
-def test_a_request_whose_client_has_left_before_it_is_read_reaches_no_backend(lane):
-    async def play() -> None:
+def test_request_whose_client_disconnects_before_it_is_read_reaches_no_backend(lane):
+    async def scenario() -> None:
         backend = Backend()
-        async with world(backend) as made:
-            await ask(made, request(path="/before"))  # there is a connection to the backend
-            before = made.ingress.host.last_id
-            with socket.create_connection(made.address) as client:  # all before the ingress has a turn
+        async with world(backend) as harness:
+            await ask(harness, request(path="/before"))  # opens a connection to the backend
+            before = harness.ingress.host.last_id
+            with socket.create_connection(harness.address) as client:  # sends and closes before the ingress runs
                 client.sendall(request(lane, left=60_000))
-            await until(lambda: made.ingress.host.last_id > before)
-            await until(lambda: not made.ingress.server.connections and not made.ingress.host.tickets)
-            await ask(made, request(path="/next"))
+            await until(lambda: harness.ingress.host.last_id > before)
+            await until(lambda: not harness.ingress.server.connections and not harness.ingress.host.tickets)
+            await ask(harness, request(path="/next"))
             assert [line.split()[1] for line, _, _ in backend.seen] == ["/before", "/next"]
 
-    run(play())
+    run(scenario())
 
 
-def test_an_attempt_that_may_run_once_only_runs_on_after_its_client_left():
-    async def play() -> None:
+def test_non_repeatable_attempt_continues_after_its_client_disconnects():
+    async def scenario() -> None:
         backend = Backend(delay=LEFT_AT_WORK)
-        async with world(backend) as made:
-            _, writer = await made.connect()
+        async with world(backend) as harness:
+            _, writer = await harness.connect()
             writer.write(request("book", left=60_000))
             await until(lambda: backend.seen)
             writer.transport.abort()
-            await until(lambda: not made.ingress.server.connections)
-            assert made.ingress.host.tickets
-            await until(lambda: not made.ingress.host.tickets)
-            assert backend.opened == 1 and made.ingress.host.controller.fleet.known["s-0"].fails == 0
+            await until(lambda: not harness.ingress.server.connections)
+            assert harness.ingress.host.tickets
+            await until(lambda: not harness.ingress.host.tickets)
+            assert backend.opened == 1 and harness.ingress.host.controller.fleet.known["s-0"].fails == 0
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_leaves_while_its_body_has_nowhere_to_go_is_noticed():
-    """Reading is paused for it, so that the end of its connection is not read."""
+def test_disconnect_is_noticed_while_reading_is_paused_by_back_pressure():
+    """Reading is paused, so the end of the stream stays unread in the kernel."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async def take_nothing(reader, writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             await until(lambda: writer.is_closing())
 
-        async with world(Fake(take_nothing)) as made:
-            _, writer = await made.connect()
+        async with world(Fake(take_nothing)) as harness:
+            _, writer = await harness.connect()
             writer.write(request("book", bytes(min(MOST, 32 * MB)), left=60_000))
-            await until(lambda: any(c.is_read_paused for c in made.ingress.server.connections))
-            # A close alone would wait behind the rest of the body, which nobody reads.
+            await until(lambda: any(c.is_read_paused for c in harness.ingress.server.connections))
+            # An orderly close would wait behind the rest of the body, which is never read.
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             writer.transport.abort()
-            await until(lambda: not made.ingress.host.tickets, 2 * LEFT_AT_WORK)
+            await until(lambda: not harness.ingress.host.tickets, 2 * LEFT_AT_WORK)
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_leaves_while_its_attempt_connects_is_no_fault_of_the_backend(monkeypatch):
-    async def play() -> None:
+def test_disconnect_during_the_upstream_connect_is_not_counted_as_a_backend_failure(monkeypatch):
+    async def scenario() -> None:
         backend = Backend()
-        async with world(backend) as made:
+        async with world(backend) as harness:
             connecting, go_on = asyncio.Event(), asyncio.Event()
-            connect = made.ingress.backends.loop.create_connection
+            connect = harness.ingress.backends.loop.create_connection
 
             async def slow_connect(*arguments, **options):
                 connecting.set()
                 await go_on.wait()
                 return await connect(*arguments, **options)
 
-            monkeypatch.setattr(made.ingress.backends, "loop", Loop(made.ingress.backends.loop, slow_connect))
-            _, writer = await made.connect()
+            monkeypatch.setattr(
+                harness.ingress.backends, "loop", DelayedLoop(harness.ingress.backends.loop, slow_connect)
+            )
+            _, writer = await harness.connect()
             writer.write(request(left=60_000))
             await connecting.wait()
             writer.transport.abort()
-            await until(lambda: not made.ingress.server.connections)
-            await until(lambda: not made.ingress.host.tickets, LEFT_AT_WORK)
+            await until(lambda: not harness.ingress.server.connections)
+            await until(lambda: not harness.ingress.host.tickets, LEFT_AT_WORK)
             go_on.set()
-            assert made.ingress.host.controller.fleet.known["s-0"].fails == 0
+            assert harness.ingress.host.controller.fleet.known["s-0"].fails == 0
             monkeypatch.undo()
-            line, _, _ = await ask(made, request())
+            line, _, _ = await ask(harness, request())
             assert line.split()[1] == "200" and len(backend.seen) == 1
 
-    run(play())
+    run(scenario())
 
 
-def test_a_connect_that_is_given_up_just_as_it_comes_up_holds_nobody_and_no_place(monkeypatch):
-    """Its time may be up in the very turn in which it is made; uvloop then tells nobody of the connection's end."""
+def test_connect_cancelled_just_as_it_succeeds_leaks_no_request_and_no_pool_slot(monkeypatch):
+    """The time-out may fire in the loop turn of the connect; uvloop then reports no loss of that connection."""
 
-    async def play() -> None:
-        backend = Working()
-        async with world(backend) as made:
-            pool, made_before = made.ingress.backends, UpstreamConnection.connection_made
+    async def scenario() -> None:
+        backend = BusyBackend()
+        async with world(backend) as harness:
+            pool, original_connection_made = harness.ingress.backends, UpstreamConnection.connection_made
 
             def give_up(connection, transport) -> None:
-                made_before(connection, transport)
+                original_connection_made(connection, transport)
                 for task in pool.connecting:
                     task.cancel()
 
             monkeypatch.setattr(UpstreamConnection, "connection_made", give_up)
-            line, _, _ = await asyncio.wait_for(ask(made, request("book", left=60_000)), 5.0)
+            line, _, _ = await asyncio.wait_for(ask(harness, request("book", left=60_000)), 5.0)
             assert line.split()[1] == "502"  # it may have run
-            assert not pool.all and not pool.connecting and not made.ingress.host.tickets
+            assert not pool.all and not pool.connecting and not harness.ingress.host.tickets
 
-    run(play())
+    run(scenario())
 
 
-class Loop:
-    """A loop whose connections come up when a test says so."""
+class DelayedLoop:
+    """An event loop whose connects complete when the test allows it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, create_connection) -> None:
         self.loop, self.create_connection = loop, create_connection
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -1,4 +1,4 @@
-"""Framing fed in any pieces gives the same result: clients' requests, backends' answers, without sockets."""
+"""Requests and responses parse the same however their bytes are split; runs without sockets."""
 
 from functools import partial
 from types import SimpleNamespace
@@ -17,11 +17,11 @@
 from fennelpoint.settings import from_json
 from fennelpoint.testing import SETTINGS, request
 
-BIG = bytes(range(256)) * ((MOST_HELD + 40_000) // 256)
+LARGE_BODY = bytes(range(256)) * ((MOST_HELD + 40_000) // 256)
 
 
 class Transport:
-    """Takes what is written, and never has it left."""
+    """A transport that accepts everything that is written at once."""
 
     def __init__(self) -> None:
         self.written, self.closed, self.protocol, self.reading = b"", False, None, True
@@ -57,7 +57,7 @@
 
 
 class Host:
-    """Takes requests as they are asked for, with bodies that are passed on, and answers each at its end."""
+    """Admits requests, also with streamed bodies, and answers each once it is complete."""
 
     def __init__(self) -> None:
         self.budget, self.settings, self.got, self.open = Budget(1 << 26), from_json(SETTINGS), [], None
@@ -89,8 +89,8 @@
         self.open = None
 
 
-def taken(pieces: list[bytes]) -> tuple[list[tuple[str, bytes]], bytes, bool]:
-    """What a connection makes of its bytes: requests, what it says, whether it is done with."""
+def parse_requests(pieces: list[bytes]) -> tuple[list[tuple[str, bytes]], bytes, bool]:
+    """Return the requests that a connection reads, its output, and whether it ignores further input."""
     life, host, later = LifeCycle(0.0), Host(), []
     life.handle(Event.LISTED, 0.0)
     server = SimpleNamespace(host=host, reader=RequestReader(host.settings), lifecycle=life, connections=set(),
@@ -104,19 +104,19 @@
         while later:
             later.pop(0)()
     assert transport.reading or connection.ignores_input
-    # Where it ends is told to the backend by length or in chunks, as it came: both are the same request.
+    # The head names length or chunked framing, depending on how the body arrived: both are the same request.
     same = [(head.lower().replace(b"transfer-encoding: chunked", b"content-length: %d" % len(body)), body)
             for head, body in host.got]
     return same, transport.written, connection.ignores_input
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
-    """In pieces as drawn, and no larger than one read."""
+def split_at(data: bytes, at: list[int]) -> list[bytes]:
+    """Split at the drawn positions, in pieces no larger than one read."""
     ends = sorted({min(len(data), a) for a in at} | {*range(READ, len(data), READ), len(data)})
     return [data[a:b] for a, b in zip([0, *ends], ends, strict=False) if a < b]
 
 
-def chunks(body: bytes, size: int) -> bytes:
+def chunk_body(body: bytes, size: int) -> bytes:
     parts = [body[i:i + size] for i in range(0, len(body), size)]
     return b"".join(b"%X;x=y\r\n%b\r\n" % (len(p), p) for p in parts) + b"0\r\nX-Lane: look\r\n\r\n"
 
@@ -124,9 +124,9 @@
 REQUESTS = {
     "look-ups": request(X_Txn="a") + b"\r\n" + request(X_Txn="b"),
     "lengths": request("book", b"abc", X_Txn="a") + request("book", b"", X_Txn="b") + request(X_Txn="c"),
-    "chunks": request("book", chunks(b"0123456789" * 9, 7), X_Txn="a", Transfer_Encoding="Chunked"),
-    "a large length": request("book", BIG, X_Txn="a") + request(X_Txn="b"),
-    "large chunks": request("book", chunks(BIG, 9973), X_Txn="a",
+    "chunks": request("book", chunk_body(b"0123456789" * 9, 7), X_Txn="a", Transfer_Encoding="Chunked"),
+    "a large length": request("book", LARGE_BODY, X_Txn="a") + request(X_Txn="b"),
+    "large chunks": request("book", chunk_body(LARGE_BODY, 9973), X_Txn="a",
                             Transfer_Encoding="chunked") + request(X_Txn="b"),
     "a bad one behind a good one": request(X_Txn="a") + b"nonsense \r\n\r\n",
     "both framings": request("book", b"0\r\n\r\n", X_Txn="a", Content_Length="5",
@@ -137,23 +137,23 @@
 
 @pytest.mark.parametrize("form", REQUESTS)
 @given(at=st.lists(st.integers(0, 400_000) | st.integers(0, 600), max_size=24))
-def test_requests_in_any_pieces_are_the_same_requests(form, at):
-    assert taken(cut(REQUESTS[form], at)) == taken(cut(REQUESTS[form], []))
+def test_requests_split_at_any_bytes_parse_the_same(form, at):
+    assert parse_requests(split_at(REQUESTS[form], at)) == parse_requests(split_at(REQUESTS[form], []))
 
 
 @pytest.mark.parametrize("form", [f for f in REQUESTS if len(REQUESTS[f]) < 2000])
-def test_requests_a_byte_at_a_time_are_the_same_requests(form):
+def test_requests_sent_byte_by_byte_parse_the_same(form):
     data = REQUESTS[form]
-    assert taken([data[i:i + 1] for i in range(len(data))]) == taken([data])
+    assert parse_requests([data[i:i + 1] for i in range(len(data))]) == parse_requests([data])
 
 
-def test_what_is_taken_is_what_was_sent():
-    (head, body), (other, none) = taken(cut(REQUESTS["large chunks"], []))[0]
-    assert body == BIG and b"x-txn: a" in head and b"x-lane: book" in head
+def test_parsed_request_equals_the_sent_one():
+    (head, body), (other, none) = parse_requests(split_at(REQUESTS["large chunks"], []))[0]
+    assert body == LARGE_BODY and b"x-txn: a" in head and b"x-lane: book" in head
     assert b"x-txn: b" in other and none == b""
 
 
-class Sink:
+class ResponseSink:
     def __init__(self) -> None:
         self.got = b""
 
@@ -161,12 +161,12 @@
         self.got += data
 
 
-def answered(pieces: list[bytes], end: bool) -> tuple[Status | None, int, bytes]:
-    """What a backend's bytes come to: outcome, status, body; whether or not it was passed on as it came."""
+def parse_response(pieces: list[bytes], end: bool) -> tuple[Status | None, int, bytes]:
+    """Return outcome, status and body of a backend's response, whether it was streamed or not."""
     pool = SimpleNamespace(all=set(), budget=Budget(1 << 26), judge=partial(Backends.judge, None),
                            keeps_for=partial(Backends.keeps_for, None), names=partial(Backends.names, None))
     upstream = Upstream("127.0.0.1", 1, 0.0, BackendState.READY)
-    sink, out = Sink(), []
+    sink, out = ResponseSink(), []
 
     def begun(answer, source):
         out.append(answer.status)
@@ -195,15 +195,16 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 ANSWERS = {
     "a length": (OK + b"content-LENGTH:  5 \r\n\r\nhello", b"hello", Status.OK),
-    "chunks": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(b"0123456789" * 9, 7),
+    "chunks": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunk_body(b"0123456789" * 9, 7),
                b"0123456789" * 9, Status.OK),
-    "a large length": (OK + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG, BIG, Status.OK),
-    "large chunks": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(BIG, 7919), BIG, Status.OK),
+    "a large length": (OK + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY, LARGE_BODY, Status.OK),
+    "large chunks": (OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunk_body(LARGE_BODY, 7919),
+                     LARGE_BODY, Status.OK),
     "interim ones first": (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + OK
                            + b"Content-Length: 5\r\n\r\nhello", b"hello", Status.OK),
     "none": (b"HTTP/1.1 204 No Content\r\n\r\n", b"", Status.ERROR),
     "turned away": (b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1 \r\nContent-Length: 0\r\n\r\n", b"", Status.FULL),
-    "the connection's end": (OK + b"\r\n" + BIG[:WHOLE + 99], BIG[:WHOLE + 99], Status.OK),
+    "the connection's end": (OK + b"\r\n" + LARGE_BODY[:WHOLE + 99], LARGE_BODY[:WHOLE + 99], Status.OK),
     "too little": (OK + b"Content-Length: 50\r\n\r\nhello", b"", Status.RESET),
     "a bad chunk": (OK + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\n", b"", Status.ERROR),
 }
@@ -211,14 +212,14 @@
 
 @pytest.mark.parametrize("form", ANSWERS)
 @given(at=st.lists(st.integers(0, 400_000) | st.integers(0, 200), max_size=24))
-def test_answers_in_any_pieces_come_to_the_same(form, at):
+def test_responses_split_at_any_bytes_parse_the_same(form, at):
     data, body, status = ANSWERS[form]
-    told = answered(cut(data, at), True)
-    assert told[0] is status and told[2] == body
+    outcome = parse_response(split_at(data, at), True)
+    assert outcome[0] is status and outcome[2] == body
 
 
 @pytest.mark.parametrize("form", [f for f in ANSWERS if len(ANSWERS[f][0]) < 2000])
-def test_answers_a_byte_at_a_time_come_to_the_same(form):
+def test_responses_sent_byte_by_byte_parse_the_same(form):
     data, body, status = ANSWERS[form]
-    told = answered([data[i:i + 1] for i in range(len(data))], True)
-    assert told[0] is status and told[2] == body
+    outcome = parse_response([data[i:i + 1] for i in range(len(data))], True)
+    assert outcome[0] is status and outcome[2] == body
