--- a/fennelpoint/net/hot_restart.py
+++ b/fennelpoint/net/hot_restart.py
@@ -24,13 +24,13 @@
     def __init__(self, folder: str, name: str, listen: str) -> None:
         """Claim a generation; raise OSError if the folder is not usable."""
         self.folder, self.name, self.listen = Path(folder), name, listen
-        self.stem = "larchwing-" + re.sub(r"[^0-9A-Za-z]", "-", listen)
-        self.live_file_pattern = re.compile(re.escape(self.stem) + r"\.(\d{1,9})\.live")
+        self.file_prefix = "larchwing-" + re.sub(r"[^0-9A-Za-z]", "-", listen)
+        self.live_file_pattern = re.compile(re.escape(self.file_prefix) + r"\.(\d{1,9})\.live")
         self.generation, self.lock_file = self._claim_generation()
 
     def _claim_generation(self) -> tuple[int, int]:
         """Claim the generation after the newest one; its file is locked before it gets its name."""
-        draft = self.folder / f"{self.stem}.{os.getpid()}.draft"
+        draft = self.folder / f"{self.file_prefix}.{os.getpid()}.draft"
         file = os.open(draft, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -48,7 +48,7 @@
             draft.unlink()
 
     def _live_path(self, generation: int) -> Path:
-        return self.folder / f"{self.stem}.{generation}.live"
+        return self.folder / f"{self.file_prefix}.{generation}.live"
 
     def _listed_generations(self) -> list[int]:
         matches = (self.live_file_pattern.fullmatch(name) for name in os.listdir(self.folder))
@@ -84,7 +84,7 @@
             return False
 
     def _record_path(self, writer: int, reader: int, is_last: bool) -> Path:
-        return self.folder / f"{self.stem}.{writer}-{reader}.{'last' if is_last else 'word'}"
+        return self.folder / f"{self.file_prefix}.{writer}-{reader}.{'last' if is_last else 'word'}"
 
     def has_record(self, writer: int, is_last: bool) -> bool:
         return self._record_path(writer, self.generation, is_last).exists()
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -60,28 +60,28 @@
     """Admits requests, also with streamed bodies, and answers each once it is complete."""
 
     def __init__(self) -> None:
-        self.budget, self.settings, self.got, self.open = Budget(1 << 26), from_json(SETTINGS), [], None
+        self.budget, self.settings, self.received, self.open = Budget(1 << 26), from_json(SETTINGS), [], None
 
     def is_open(self, txn: bytes) -> bool:
         return False
 
-    def admit(self, client, asked) -> int:
-        if asked.upload is None:
-            self.got.append((asked.head, asked.body))
+    def admit(self, client, admitted) -> int:
+        if admitted.upload is None:
+            self.received.append((admitted.head, admitted.body))
             client.refused(0.0)
             return 1
-        self.open = [client, asked, b""]
+        self.open = [client, admitted, b""]
         self.came(1)
         return 1
 
     def came(self, request: int) -> None:
-        client, asked, _ = self.open
-        while asked.upload.waits:
-            self.open[2] += asked.upload.take()
+        client, admitted, _ = self.open
+        while admitted.upload.waits:
+            self.open[2] += admitted.upload.take()
             client.taken_on()
-        if asked.upload.ended:
-            body = self.open[2] if asked.upload.length is not None else unchunk(self.open[2])[0]
-            self.got.append((asked.head, body))
+        if admitted.upload.ended:
+            body = self.open[2] if admitted.upload.length is not None else unchunk(self.open[2])[0]
+            self.received.append((admitted.head, body))
             self.open = None
             client.refused(0.0)
 
@@ -106,7 +106,7 @@
     assert transport.reading or connection.ignores_input
     # The head names length or chunked framing, depending on how the body arrived: both are the same request.
     same = [(head.lower().replace(b"transfer-encoding: chunked", b"content-length: %d" % len(body)), body)
-            for head, body in host.got]
+            for head, body in host.received]
     return same, transport.written, connection.ignores_input
 
 
@@ -155,10 +155,10 @@
 
 class ResponseSink:
     def __init__(self) -> None:
-        self.got = b""
+        self.received = b""
 
     def more(self, data: bytes) -> None:
-        self.got += data
+        self.received += data
 
 
 def parse_response(pieces: list[bytes], end: bool) -> tuple[Status | None, int, bytes]:
@@ -189,7 +189,7 @@
     if not out or out[-1] is None and len(out) < 2:
         return None, 0, b""
     status, answer = out[-2], out[-1]
-    return status, answer.status if answer else 0, sink.got + (answer.body if answer else b"")
+    return status, answer.status if answer else 0, sink.received + (answer.body if answer else b"")
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -171,7 +171,7 @@
 def test_client_that_stops_reading_delays_only_its_own_response_and_uses_little_memory():
     async def scenario() -> None:
         size = 32 * MB
-        whole = STATUS_LINE + b"Content-Length: %d\r\n\r\n" % size
+        response = STATUS_LINE + b"Content-Length: %d\r\n\r\n" % size
 
         async def handle(reader, writer) -> None:
             while True:
@@ -179,7 +179,7 @@
                 if "/big" not in line:
                     writer.write(ok(b"small"))
                     continue
-                writer.write(whole)
+                writer.write(response)
                 for _ in range(size // MB):
                     writer.write(bytes(MB))
                     await writer.drain()
@@ -209,8 +209,8 @@
 def test_client_that_reads_nothing_for_long_is_disconnected(monkeypatch):
     async def scenario() -> None:
         monkeypatch.setattr("fennelpoint.net.server.STOPPED", 0.5)
-        whole = STATUS_LINE + b"Content-Length: %d\r\n\r\n" % (24 * MB) + bytes(24 * MB)
-        async with world(Backend(lambda *_: whole)) as harness:
+        response = STATUS_LINE + b"Content-Length: %d\r\n\r\n" % (24 * MB) + bytes(24 * MB)
+        async with world(Backend(lambda *_: response)) as harness:
             reader, writer = await harness.connect()
             reader._limit = 1024
             writer.write(request(left=60_000))
@@ -231,11 +231,11 @@
             line, fields = await read_head(reader)
             harness.ingress.life.handle(Event.DRAIN, time.monotonic())
             harness.ingress.look()
-            got = b""
-            while len(got) < len(BODY):
-                got += await reader.readexactly(min(256 * 1024, len(BODY) - len(got)))
+            received = b""
+            while len(received) < len(BODY):
+                received += await reader.readexactly(min(256 * 1024, len(BODY) - len(received)))
                 await asyncio.sleep(0.15)
-            assert got == BODY and await reader.read() == b""
+            assert received == BODY and await reader.read() == b""
             writer.close()
 
     run(scenario())
@@ -503,8 +503,8 @@
             reader, writer = await harness.connect()
             writer.write(request(left=20_000, Connection="close"))
             line, fields = await read_head(reader)
-            got = await reader.read()       # raises ConnectionResetError at a reset
-            assert 0 < len(got) < int(fields["content-length"]) and BODY.startswith(got)
+            received = await reader.read()       # raises ConnectionResetError at a reset
+            assert 0 < len(received) < int(fields["content-length"]) and BODY.startswith(received)
             writer.close()
 
     run(scenario())
