--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -10,7 +10,7 @@
 from fennelpoint.body_buffering import Budget
 from fennelpoint.net.backends import Exchange
 from fennelpoint.net.controller_runtime import Clock
-from fennelpoint.net.request_parser import BadRequest, Reply
+from fennelpoint.net.request_parser import BadRequest, LocalReply
 from fennelpoint.system.config_versions import Version
 from fennelpoint.system.proxy.controller import ProxyController
 from fennelpoint.system.proxy.controller_host import ProxyBackends
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("url, key, status", [(b"/none/1", b"k1", 404), (b"/x", b"k1", 404), (b"/x/1", b"", 401),
                                               (b"/x/1", b"nobody", 401)])
 def test_a_request_without_a_route_or_a_known_key_is_answered_by_the_proxy(url, key, status) -> None:
-    with pytest.raises(Reply) as raised:
+    with pytest.raises(LocalReply) as raised:
         read(make_reader(), url, key=key)
     assert raised.value.status == status
 
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("url, key", [(b"/none/1", b"k1"), (b"/x/1", b""), (b"/x/1", b"k1"), (b"/open/1", b"")])
 def test_without_a_lease_no_request_is_judged_by_the_applied_version(url, key) -> None:
     reader = make_reader(is_leased=False)
-    with pytest.raises(Reply) as raised:
+    with pytest.raises(LocalReply) as raised:
         read(reader, url, key=key)
     assert raised.value.status == 503 and dict(raised.value.headers)[b"retry-after"] == b"0.500"
     is_counted = key and url == b"/x/1"
