--- a/benchmarks/drawn_core.py
+++ b/benchmarks/drawn_core.py
@@ -20,8 +20,8 @@
 
 from docopt import docopt
 
-from fennelpoint.testing.core_machines import Broken
-from fennelpoint.testing.random_core_scenarios import Deployment, DrawnDay
+from fennelpoint.testing.core_machines import CheckFailed
+from fennelpoint.testing.random_core_scenarios import Deployment, RandomScenario
 
 CORES = {"ra-1": 2, "ra-2": 1, "rb-1": 2, "rb-2": 1, "rc-1": 1, "rc-2": 1, "rd-1": 1}
 FRONTS = {"ra-1": 3, "ra-2": 1, "rb-1": 2, "rb-2": 2, "rc-1": 1, "rc-2": 2, "rd-1": 1}
@@ -30,8 +30,8 @@
 def play(deployment: Deployment, seed: int, seconds: float) -> str:
     """`ok`, or what is broken in that day."""
     try:
-        DrawnDay(deployment, seed, seconds).play()
-    except Broken as error:
+        RandomScenario(deployment, seed, seconds).run()
+    except CheckFailed as error:
         return f"broken: {error}"
     return "ok"
 
--- a/fennelpoint/testing/core_calls.py
+++ b/fennelpoint/testing/core_calls.py
@@ -1,4 +1,4 @@
-"""Calls from outside upon a simulated core: of operators, backends and clients of the directory."""
+"""Calls to a simulated core by operators, backends and clients of the directory."""
 
 from __future__ import annotations
 
@@ -8,67 +8,83 @@
 
 from fennelpoint.system.calls import find
 from fennelpoint.system.http_server import Asking
-from fennelpoint.testing.core_machines import Backend, Broken, Caller
+from fennelpoint.testing.core_machines import Backend, Caller, CheckFailed
 
 if TYPE_CHECKING:
     from fennelpoint.system.http_server import Reply
-    from fennelpoint.testing.core_machines import Core, Front
+    from fennelpoint.testing.core_machines import CoreMachine, ProxyMachine
 
-ANSWER_WITHIN = 1.0  # s of silence after which a backend calls another core machine
-TAKEN_WITHIN = 2.0  # s in which each of a row of orders must be taken
-STEP = 0.02  # s between two looks at the world
+HEARTBEAT_REPLY_TIMEOUT_S = 1.0  # then a backend calls another core machine
+ACCEPT_TIMEOUT_S = 2.0  # for each of several successive changes
+STEP_S = 0.02  # of simulated time
 TENANTS = ("t1", "t2")
 
 
 class OutsideCalls:
-    """Calls of a `core_simulation.World`, which is this and what it names."""
+    """Mixin of `core_simulation.CoreSimulation` for calls; declares the attributes that it uses."""
 
     now: float
-    rate: int
-    homes: list[str]
-    cores: dict[str, Core]
-    fronts: dict[str, Front]
-    asked: dict[str, list[Asking]]
+    tenant_rate_per_s: int
+    home_regions: list[str]
+    cores: dict[str, CoreMachine]
+    proxies: dict[str, ProxyMachine]
+    calls_by_label: dict[str, list[Asking]]
     replies: dict[int, Reply]
-    beaten: dict[int, Backend]
-    waits: dict[str, list[Callable[[], None]]]
-    frozen: dict[str, float]
+    heartbeat_callers: dict[int, Backend]
+    deferred_deliveries: dict[str, list[Callable[[], None]]]
+    frozen_since: dict[str, float]
 
     def call(
         self,
         method: str,
         path: str,
         body: object,
-        via: str,
+        target: str,
         label: str,
-        by: Backend | None = None,
-        door: str = "control_plane",
+        caller: Backend | None = None,
+        interface: str = "control_plane",
         query: dict[str, str] | None = None,
     ) -> None:
-        """A call to one core machine; its reply is kept under the label.  A body of bytes is sent as it is."""
-        core = self.cores[via]
-        found, segment, _ = find(door, method, path)
+        """Call one core machine and record the call under the label; a body of bytes is sent unchanged.
+
+        `caller` is the backend whose heartbeat the call is, `interface` the listener of the core that it is for.
+        """
+        core = self.cores[target]
+        endpoint, segment, _ = find(interface, method, path)
         data = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
-        asking = Asking(found, segment, query or {}, data, Caller())
-        self.asked.setdefault(label, []).append(asking)
-        if by is not None:
-            self.beaten[id(asking)] = by
-            self._later(ANSWER_WITHIN, lambda: self._elsewhere(by) if self.beaten.pop(id(asking), None) else None)
-        if via in self.frozen:
-            self.waits[via].append(lambda: self._roll(core, core.registry.on_call(asking, self.now)))
-        elif core.up:
-            self._roll(core, core.registry.on_call(asking, self.now))
+        request = Asking(endpoint, segment, query or {}, data, Caller())
+        self.calls_by_label.setdefault(label, []).append(request)
+        if caller is not None:
+            self.heartbeat_callers[id(request)] = caller
+            self._schedule(
+                HEARTBEAT_REPLY_TIMEOUT_S,
+                lambda: self._retry_heartbeat(caller) if self.heartbeat_callers.pop(id(request), None) else None,
+            )
+        if target in self.frozen_since:
+            self.deferred_deliveries[target].append(
+                lambda: self._run_registry_actions(core, core.registry.on_call(request, self.now))
+            )
+        elif core.is_running:
+            self._run_registry_actions(core, core.registry.on_call(request, self.now))
+
+    def put(self, version: int, base: int, target: str, label: str = "", mark: str = "") -> None:
+        """Put a complete configuration: one route, one service, two tenants with the simulation's rate.
 
-    def put(self, version: int, base: int, via: str, label: str = "", mark: str = "") -> None:
-        """An operator's whole configuration: one route, one service, two tenants with the world's rate."""
+        `mark` distinguishes the route's name and path.
+        """
         route = {
             "name": f"r{mark}",
             "kind": "idempotent",
             "match_criteria": {"path_prefix": f"/{mark or 'r'}/"},
-            "route_action": {"service": "svc", "request_timeout_s": 1, "home_regions": self.homes},
+            "route_action": {"service": "svc", "request_timeout_s": 1, "home_regions": self.home_regions},
         }
         tenants = [
-            {"name": name, "api_keys": [f"k-{name}"], "rate_per_s": self.rate, "burst_size": self.rate}
+            {
+                "name": name,
+                "api_keys": [f"k-{name}"],
+                "rate_per_s": self.tenant_rate_per_s,
+                "burst_size": self.tenant_rate_per_s,
+            }
             for name in TENANTS
         ]
         value = {
@@ -78,22 +94,22 @@
             "tenants": tenants,
             "clusters": [{"name": "svc", "cold_start_s": 3, "cold_rate_s": 5}],
         }
-        self.call("PUT", "/api/configuration", value, via, label or f"put {version}")
+        self.call("PUT", "/api/configuration", value, target, label or f"put {version}")
 
     def status(self, label: str) -> int:
-        """Of the newest reply to a call of that name; 0: none yet."""
-        replies = [self.replies.get(id(asking)) for asking in self.asked.get(label, ())]
+        """HTTP status of the newest reply to a call with that label; 0 without a reply."""
+        replies = [self.replies.get(id(request)) for request in self.calls_by_label.get(label, ())]
         return next((reply.status for reply in reversed(replies) if reply is not None), 0)
 
-    def named(self) -> list[str]:
-        """Regions of the proxies that the newest answer of the directory names; none where it named nobody."""
-        reply = self.replies[id(self.asked["resolve"][-1])]
+    def resolved_regions(self) -> list[str]:
+        """Regions of the proxies in the newest reply of the directory; empty when it is not a 200."""
+        reply = self.replies[id(self.calls_by_label["resolve"][-1])]
         addresses = reply.value["addresses"] if reply.status == 200 else []
-        return sorted({self.fronts[address.partition(":")[0]].region for address in addresses})
+        return sorted({self.proxies[address.partition(":")[0]].region for address in addresses})
 
-    def _until_acked(self, asking: Asking) -> None:
-        limit = self.now + TAKEN_WITHIN
-        while (reply := self.replies.get(id(asking))) is None and self.now < limit:
-            self.run(self.now + STEP)
+    def _wait_until_accepted(self, request: Asking) -> None:
+        limit = self.now + ACCEPT_TIMEOUT_S
+        while (reply := self.replies.get(id(request))) is None and self.now < limit:
+            self.run(self.now + STEP_S)
         if reply is None or reply.status != 200:
-            raise Broken(f"{self.now:.2f}: an order in a row is not taken: {reply and reply.value}")
+            raise CheckFailed(f"{self.now:.2f}: a change was not accepted in time: {reply and reply.value}")
--- a/fennelpoint/testing/core_invariants.py
+++ b/fennelpoint/testing/core_invariants.py
@@ -1,4 +1,4 @@
-"""The rules that a simulated core is held to at each step, by what is acted on and not by what deciders say."""
+"""Invariants of a simulated core, checked at each step against what is applied, not what state machines report."""
 
 from __future__ import annotations
 
@@ -8,116 +8,127 @@
 from fennelpoint.system.proxy.placement import RATE_WINDOW_S
 from fennelpoint.system.registry.grants import TOTAL_SHARES
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.store import replica as writ
+from fennelpoint.system.store import replica as store_replica
 from fennelpoint.system.store.idempotency import referenced_digests
-from fennelpoint.testing.core_calls import STEP, TENANTS
-from fennelpoint.testing.core_machines import Broken, Core, Front
+from fennelpoint.testing.core_calls import STEP_S, TENANTS
+from fennelpoint.testing.core_machines import CheckFailed, CoreMachine, ProxyMachine
 
-COLD_MOST = 12  # tries a second that a cold backend bears
-COLD_WINDOW = 1.0  # s in which they are counted
-OVERLAP_MOST = 0.3  # s that a word of a new term may be on its way to the allocator before
+MAX_COLD_ATTEMPTS = 12  # that a cold backend can serve within `COLD_WINDOW_S`
+COLD_WINDOW_S = 1.0
+MAX_OVERLAP_S = 0.3  # a message about a new term may take that long to reach the allocator of the previous one
 
 
-class Checked(Protocol):
-    """The world that is checked: a `core_simulation.World`."""
+class CheckedSimulation(Protocol):
+    """What the checks read of a `core_simulation.CoreSimulation`."""
 
     now: float
-    cores: dict[str, Core]
-    fronts: dict[str, Front]
-    acked: dict[int, float]  # versions, and when each was acknowledged
+    cores: dict[str, CoreMachine]
+    proxies: dict[str, ProxyMachine]
+    acknowledged_at: dict[int, float]  # by configuration version
     bounds: Bounds
 
-    def allows(self, front: Front) -> bool:
-        """Whether the front may send requests on."""
+    def may_send_requests(self, proxy: ProxyMachine) -> bool:
+        """Whether the proxy may forward requests to backends."""
 
 
 @dataclass(slots=True)
-class ColdUse:
-    """What one life of a front might use of a cold backend, at one step."""
+class ColdShareUse:
+    """The rate share of a cold backend that one incarnation of a proxy held at one step."""
 
-    at: float
-    life: tuple[str, float]  # the front, and when the life began
-    part: int
+    used_at: float
+    incarnation: tuple[str, float]  # the proxy's address, and when the incarnation started
+    share: int
 
 
 @dataclass(eq=False)
-class CoreRules:
-    """Checks one world; what it remembers of earlier steps is here."""
+class InvariantChecker:
+    """Checks one simulation, and keeps what the checks need of earlier steps."""
 
-    world: Checked
-    overlap: float = 0.0  # s that two have allocated
-    cold_uses: dict[str, list[ColdUse]] = field(default_factory=dict)  # by backend, within the window
+    simulation: CheckedSimulation
+    overlap_s: float = 0.0  # time for which two machines have been allocating at once
+    cold_uses: dict[str, list[ColdShareUse]] = field(default_factory=dict)  # by backend, within the window
 
     def check(self) -> None:
-        """Raises Broken for the first rule that does not hold now."""
-        world = self.world
-        using = [
-            front
-            for front in world.fronts.values()
-            if world.allows(front) and world.now < front.session.grant.expires_at
+        """Raise CheckFailed for the first invariant that does not hold now."""
+        simulation = self.simulation
+        active = [
+            proxy
+            for proxy in simulation.proxies.values()
+            if simulation.may_send_requests(proxy) and simulation.now < proxy.session.grant.expires_at
         ]
-        self._check_shares(using)
-        self._check_cold(using)
+        self._check_shares(active)
+        self._check_cold(active)
         self._check_allocators()
         self._check_voters()
         self._check_versions()
 
-    def _broken(self, what: str) -> Broken:
-        return Broken(f"{self.world.now:.2f}: {what}")
+    def _failure(self, what: str) -> CheckFailed:
+        return CheckFailed(f"{self.simulation.now:.2f}: {what}")
 
-    def _check_shares(self, using: list[Front]) -> None:
-        parts = [front.session.grant for front in using]
+    def _check_shares(self, active: list[ProxyMachine]) -> None:
+        grants = [proxy.session.grant for proxy in active]
         for tenant in TENANTS:
-            if (whole := sum(p.quotas.get(tenant, 0) for p in parts)) > TOTAL_SHARES:
-                raise self._broken(f"{whole} thousandths of {tenant}'s quota are in use")
-        if (whole := sum(p.slack for p in parts)) > TOTAL_SHARES:
-            raise self._broken(f"{whole} thousandths of the slack are in use")
-
-    def _check_cold(self, using: list[Front]) -> None:
-        """Each life of a front may have sent all of the largest part that it had within the window."""
-        now = self.world.now
-        for front in using:
-            born = front.session.started_at
-            if now >= born + RATE_WINDOW_S:  # a front that has just begun sends nothing to cold backends
-                for backend, part in front.session.grant.cold_rates.items():
-                    self.cold_uses.setdefault(backend, []).append(ColdUse(now, (front.ip, born), part))
+            if (total := sum(grant.quotas.get(tenant, 0) for grant in grants)) > TOTAL_SHARES:
+                raise self._failure(f"{total} thousandths of {tenant}'s quota are in use")
+        if (total := sum(grant.slack for grant in grants)) > TOTAL_SHARES:
+            raise self._failure(f"{total} thousandths of the slack are in use")
+
+    def _check_cold(self, active: list[ProxyMachine]) -> None:
+        """Each incarnation of a proxy may have used up the largest share that it held within the window."""
+        now = self.simulation.now
+        for proxy in active:
+            started_at = proxy.session.started_at
+            if now >= started_at + RATE_WINDOW_S:  # a proxy that has just started sends nothing to cold backends
+                for backend, share in proxy.session.grant.cold_rates.items():
+                    self.cold_uses.setdefault(backend, []).append(ColdShareUse(now, (proxy.ip, started_at), share))
         for backend, uses in list(self.cold_uses.items()):
-            recent = [use for use in uses if use.at > now - COLD_WINDOW]
-            most: dict[tuple[str, float], int] = {}
+            recent = [use for use in uses if use.used_at > now - COLD_WINDOW_S]
+            largest: dict[tuple[str, float], int] = {}
             for use in recent:
-                most[use.life] = max(most.get(use.life, 0), use.part)
-            if (whole := sum(most.values())) > COLD_MOST:
-                raise self._broken(f"{whole} tries within a second at cold {backend}: {most}")
+                largest[use.incarnation] = max(largest.get(use.incarnation, 0), use.share)
+            if (total := sum(largest.values())) > MAX_COLD_ATTEMPTS:
+                raise self._failure(f"{total} attempts within a second at cold backend {backend}: {largest}")
             if recent:
                 self.cold_uses[backend] = recent
             else:
                 del self.cold_uses[backend]
 
     def _check_allocators(self) -> None:
-        world = self.world
-        registries = [core.registry for core in world.cores.values() if core.up]
-        leads = [registry for registry in registries if registry.allocation.may_grant(world.now)]
-        terms = {registry.allocation.allocator.term[0] for registry in leads}
-        knows = any(registry.cluster_state["term"] > registry.allocation.allocator.term[0] for registry in leads)
-        self.overlap = self.overlap + STEP if len(terms) > 1 and not knows else 0.0
-        if self.overlap > OVERLAP_MOST:
-            raise self._broken(f"{[registry.node_ip for registry in leads]} allocate parts")
+        simulation = self.simulation
+        registries = [core.registry for core in simulation.cores.values() if core.is_running]
+        granting = [registry for registry in registries if registry.allocation.may_grant(simulation.now)]
+        terms = {registry.allocation.allocator.term[0] for registry in granting}
+        knows_newer_term = any(
+            registry.cluster_state["term"] > registry.allocation.allocator.term[0] for registry in granting
+        )
+        self.overlap_s = self.overlap_s + STEP_S if len(terms) > 1 and not knows_newer_term else 0.0
+        if self.overlap_s > MAX_OVERLAP_S:
+            raise self._failure(f"{[registry.node_ip for registry in granting]} grant shares at the same time")
 
     def _check_voters(self) -> None:
-        for core in self.world.cores.values():
-            cell = core.disk.registers.get(writ.KEY) if core.disk is not None and core.disk.can_vote else None
+        for core in self.simulation.cores.values():
+            register = (
+                core.saved_acceptor.registers.get(store_replica.KEY)
+                if core.saved_acceptor is not None and core.saved_acceptor.can_vote
+                else None
+            )
             if (
-                cell is not None
-                and cell.value
-                and any(d not in core.contents for d in referenced_digests(cell.value))
+                register is not None
+                and register.value
+                and any(d not in core.contents for d in referenced_digests(register.value))
             ):
-                raise self._broken(f"{core.ip} votes without the contents of its value")
+                raise self._failure(f"{core.ip} votes without the contents that its value refers to")
 
     def _check_versions(self) -> None:
-        world = self.world
-        newest = max(world.acked, default=0)
-        for front in world.fronts.values():
-            late = front.version < newest and world.now - world.acked[newest] > world.bounds.newest_within_s
-            if late and world.allows(front):
-                age = world.now - world.acked[newest]
-                raise self._broken(f"{front.ip} goes by {front.version}, {age:.2f} s after {newest} was acked")
+        simulation = self.simulation
+        newest = max(simulation.acknowledged_at, default=0)
+        for proxy in simulation.proxies.values():
+            is_outdated = (
+                proxy.version < newest
+                and simulation.now - simulation.acknowledged_at[newest] > simulation.bounds.newest_within_s
+            )
+            if is_outdated and simulation.may_send_requests(proxy):
+                age = simulation.now - simulation.acknowledged_at[newest]
+                raise self._failure(
+                    f"{proxy.ip} uses version {proxy.version}, {age:.2f} s after {newest} was acknowledged"
+                )
--- a/fennelpoint/testing/core_machines.py
+++ b/fennelpoint/testing/core_machines.py
@@ -1,4 +1,4 @@
-"""The machines of a simulated core: what `core_simulation` plays."""
+"""State of the machines in `core_simulation`."""
 
 from __future__ import annotations
 
@@ -10,60 +10,60 @@
 from fennelpoint.system.store.replica import Replica
 
 
-class Broken(AssertionError):
-    """A rule or an expectation that does not hold, with the time."""
+class CheckFailed(AssertionError):
+    """An invariant or an expectation does not hold; the message begins with the simulated time."""
 
 
 @dataclass(eq=False)
 class Caller:
-    """Who waits for an answer, as a connection would."""
+    """Stands in for the connection on which a call came in."""
 
     lost: bool = False
     hung_up: bool = False
 
 
 @dataclass(eq=False)
-class Core:
-    """One core machine: both its processes, and what its disk holds."""
+class CoreMachine:
+    """A core machine: its store and registry processes, and the contents of its disk."""
 
     ip: str
     zone: str
     region: str
-    up: bool = False
-    disk: Acceptor | None = None
-    contents: dict[str, bytes] = field(default_factory=dict)
-    rows: dict[str, list] = field(default_factory=dict)
+    is_running: bool = False
+    saved_acceptor: Acceptor | None = None
+    contents: dict[str, bytes] = field(default_factory=dict)  # on disk, by digest
+    saved_rows: dict[str, list] = field(default_factory=dict)  # of the registry, by id
     store: Replica | None = None
     registry: RegistryStateMachine | None = None
-    full: bool = False  # the disk refuses writes
-    registry_gone: bool = False  # its registry has left
+    is_disk_full: bool = False
+    has_registry_exited: bool = False
 
 
 @dataclass(eq=False)
-class Front:
-    """One front, and what was asked and drawn there."""
+class ProxyMachine:
+    """A proxy machine, and the quota units that it requested."""
 
     ip: str
     zone: str
     region: str
-    up: bool = False
+    is_running: bool = False
     session: CoreSession | None = None
-    version: int = 0
-    asked: dict[str, float] = field(default_factory=dict)  # a second, by tenant
-    drawn: dict[str, list[int]] = field(default_factory=dict)  # units that came, and that were denied, by tenant
+    version: int = 0  # of the configuration in force
+    request_rates: dict[str, float] = field(default_factory=dict)  # per second, by tenant
+    unit_counts: dict[str, list[int]] = field(default_factory=dict)  # by tenant: units received, units denied
 
 
 @dataclass(eq=False)
 class Backend:
-    """One backend that beats."""
+    """A backend that sends heartbeats."""
 
     id: str
     service: str
     zone: str
     state: str = "ready"
-    seq: int = 0
-    at: float = 0.0
-    turn: int = 0
-    home: str = ""  # where it was told to beat; holds until a beat fails there
-    cold: float = 0.0
-    acked: float | None = None  # when its drain was acknowledged
+    sequence: int = 0
+    next_heartbeat_at: float = 0.0
+    next_core: int = 0  # index of the core machine that is next in turn
+    heartbeat_core: str = ""  # the core machine assigned to it, until a heartbeat fails there
+    cold_until: float = 0.0
+    acknowledged_at: float | None = None  # when its drain or departure was acknowledged
--- a/fennelpoint/testing/operator_calls.py
+++ b/fennelpoint/testing/operator_calls.py
@@ -10,14 +10,14 @@
 
 from fennelpoint.system.calls import find
 from fennelpoint.system.http_server import Asking, Reply
-from fennelpoint.testing.core_machines import Broken, Caller
+from fennelpoint.testing.core_machines import Caller, CheckFailed
 from fennelpoint.testing.linearizable import Op
 
 if TYPE_CHECKING:
-    from fennelpoint.testing.core_machines import Core
+    from fennelpoint.testing.core_machines import CoreMachine
     from fennelpoint.testing.operator_plans import Errand, Plan
 
-STEP = 0.04  # s between two looks at what was answered
+STEP_S = 0.04  # s between two looks at what was answered
 SILENCE = 1.0  # s that a caller waits
 PAUSE, LONGEST = 0.05, 0.8  # s before the next try; doubles each time
 PATIENCE = 6.0  # s that an order is sent
@@ -38,7 +38,7 @@
     only: str = ""  # no other will do
     tries: int = 0
     follows: int = 0
-    asking: Asking | None = None
+    request: Asking | None = None
     answered: Op | None = None
 
 
@@ -48,7 +48,7 @@
     plan: Plan
     now: float
     dice: Random
-    cores: dict[str, Core]
+    cores: dict[str, CoreMachine]
     removed: set[str]
     asleep: dict[str, list[Callable[[], None]]]
     history: list[Op]
@@ -137,47 +137,47 @@
         there = [ip for ip in self.cores if ip not in self.removed and ip != flow.via] or list(self.cores)
         flow.via = via or flow.only or self.dice.choice(there)
         call, segment, _ = find("control_plane", flow.method, flow.path)
-        asking = flow.asking = Asking(call, segment, {}, flow.body, Caller())
-        self.kept.append(asking)
+        request = flow.request = Asking(call, segment, {}, flow.body, Caller())
+        self.kept.append(request)
         at = flow.via
-        self._later(self._way(), lambda: self._arrive(flow, asking, at))
-        self._later(SILENCE, lambda: self._failed(flow, asking))
+        self._schedule(self._way(), lambda: self._arrive(flow, request, at))
+        self._schedule(SILENCE, lambda: self._failed(flow, request))
 
-    def _arrive(self, flow: Flow, asking: Asking, via: str) -> None:
+    def _arrive(self, flow: Flow, request: Asking, via: str) -> None:
         core = self.cores[via]
-        if not core.up:
-            return self._failed(flow, asking)
+        if not core.is_running:
+            return self._failed(flow, request)
         if (waiting := self.asleep.get(via)) is not None:
-            return waiting.append(lambda: self._arrive(flow, asking, via))
-        self.open[id(asking)] = (flow, asking, via)
-        self._roll(core, core.registry.on_call(asking, self.now))
-
-    def _answered(self, asking: Asking, reply: Reply) -> None:
-        super()._answered(asking, reply)
-        flow, _, via = self.open.pop(id(asking))
-        if asking.gone or self.plan.lossy and not self.peace and self.dice.random() < 0.2:
+            return waiting.append(lambda: self._arrive(flow, request, via))
+        self.open[id(request)] = (flow, request, via)
+        self._run_registry_actions(core, core.registry.on_call(request, self.now))
+
+    def _record_reply(self, request: Asking, reply: Reply) -> None:
+        super()._record_reply(request, reply)
+        flow, _, via = self.open.pop(id(request))
+        if request.gone or self.plan.lossy and not self.peace and self.dice.random() < 0.2:
             pass  # the caller has gone on, or will
         else:
-            self._later(self._way(), lambda: self._got(flow, asking, reply))
-        if reply.status == 200 and asking.call.name in CHANGES:
+            self._schedule(self._way(), lambda: self._got(flow, request, reply))
+        if reply.status == 200 and request.call.name in CHANGES:
             self._acked(via)
 
-    def _failed(self, flow: Flow, asking: Asking) -> None:
-        if flow.asking is asking:
+    def _failed(self, flow: Flow, request: Asking) -> None:
+        if flow.request is request:
             self._again(flow)
 
     def _again(self, flow: Flow) -> None:
-        if flow.asking is not None:
-            flow.asking._visit.lost = True
-        flow.asking = None
+        if flow.request is not None:
+            flow.request._visit.lost = True
+        flow.request = None
         pause = min(LONGEST, PAUSE * 2**flow.tries)
         flow.tries += 1
         if self.now + pause < flow.until:
-            return self._later(pause, lambda: self._try(flow))
+            return self._schedule(pause, lambda: self._try(flow))
         self._end(flow, 0, None)
 
-    def _got(self, flow: Flow, asking: Asking, reply: Reply) -> None:
-        if flow.asking is not asking:
+    def _got(self, flow: Flow, request: Asking, reply: Reply) -> None:
+        if flow.request is not request:
             return
         if reply.status == 307 and flow.follows < 2:
             flow.follows += 1
@@ -190,7 +190,7 @@
 
     def _end(self, flow: Flow, status: int, reply: Reply | None) -> None:
         self.flows.remove(flow)
-        flow.asking = None
+        flow.request = None
         op = dict(flow.op)
         who = op.pop("who")
         if status == 0:
@@ -215,9 +215,9 @@
         start()
         mine, end = [flow for flow in self.flows if flow not in others], self.now + limit
         while self.now < end and not all(flow.answered for flow in mine):
-            self.run(self.now + STEP)
+            self.run(self.now + STEP_S)
         if any(flow.answered is None for flow in mine):
-            raise Broken(f"{self.now:.2f}: {what}: no clear answer within {limit} s of calm")
+            raise CheckFailed(f"{self.now:.2f}: {what}: no clear answer within {limit} s of calm")
         return [flow.answered for flow in mine]
 
     def repeat(self, op: Op) -> None:
--- a/fennelpoint/testing/operators.py
+++ b/fennelpoint/testing/operators.py
@@ -16,18 +16,18 @@
 from fennelpoint.system.http_server import Asking
 from fennelpoint.system.mesh import ip_of, name
 from fennelpoint.system.settings import Bounds
-from fennelpoint.testing.core_machines import Broken, Core
-from fennelpoint.testing.core_simulation import SILENT, World
+from fennelpoint.testing.core_machines import CheckFailed, CoreMachine
+from fennelpoint.testing.core_simulation import LINK_TIMEOUT_S, CoreSimulation
 from fennelpoint.testing.linearizable import Op, fault
 from fennelpoint.testing.operator_calls import CHANGES, Flow, OperatorCalls
 from fennelpoint.testing.operator_plans import Plan, Trouble
 
-STEP = 0.04  # s; the deciders' own ticks are 0.02 and 0.05
+STEP_S = 0.04  # s; the deciders' own ticks are 0.02 and 0.05
 LINKED = 0.06  # s until a connection stands, or one to a process that has ended is seen to break
 
 
 @dataclass(eq=False)
-class Day(OperatorCalls, World):
+class Day(OperatorCalls, CoreSimulation):
     """A plan under way."""
 
     plan: Plan
@@ -56,49 +56,49 @@
 
     def _new(self) -> str:
         i = len(self.cores)
-        self.cores[f"c{i}"] = Core(f"c{i}", f"z{i}", f"r{i % 3}")
+        self.cores[f"c{i}"] = CoreMachine(f"c{i}", f"z{i}", f"r{i % 3}")
         return f"c{i}"
 
     # Time
 
     def run(self, until: float) -> None:
         while self.now < until - 1e-9:
-            step = min(until, self.now + STEP)
-            while self.queue and self.queue[0][0] <= step:
-                self.now, _, do = heappop(self.queue)
+            step = min(until, self.now + STEP_S)
+            while self.event_queue and self.event_queue[0][0] <= step:
+                self.now, _, do = heappop(self.event_queue)
                 do()
             self.now = step
             self._tick()
 
     def _tick(self) -> None:
-        self._relink()
+        self._update_connections()
         for core in self.cores.values():
-            if core.up and core.ip not in self.asleep:
-                self._writ(core, core.store.tick(self.now))
-                self._roll(core, core.registry.tick(self.now))
+            if core.is_running and core.ip not in self.asleep:
+                self._run_store_actions(core, core.store.tick(self.now))
+                self._run_registry_actions(core, core.registry.tick(self.now))
         if self.losing is not None:
-            well = not self.windows and all(c.up for c in self.cores.values() if c.ip not in self.removed)
-            self.losing = self.losing + STEP if well else 0.0
+            well = not self.windows and all(c.is_running for c in self.cores.values() if c.ip not in self.removed)
+            self.losing = self.losing + STEP_S if well else 0.0
             if self.losing > self.bounds.catch_up_s:
                 self.losing = None
 
     # Links and messages
 
-    def _joined(self, a: str, b: str) -> bool:
-        return super()._joined(a, b) and (a, b) not in self.deaf
+    def _is_reachable(self, a: str, b: str) -> bool:
+        return super()._is_reachable(a, b) and (a, b) not in self.deaf
 
-    def _relink(self) -> None:
+    def _update_connections(self) -> None:
         """As in any world, with one state for all connections between two machines."""
         for one in self.cores.values():
             for other in self.cores.values():
-                a, b, up = one.ip, other.ip, one.up and other.up
+                a, b, up = one.ip, other.ip, one.is_running and other.is_running
                 # Who is not heard, or does not answer, is left and dialled anew: a connection needs both ways.
                 joined = up and (
                     a == b
                     or not (
                         self.windows
                         and (
-                            frozenset((a, b)) in self.cuts
+                            frozenset((a, b)) in self.partitioned_pairs
                             or (a, b) in self.deaf
                             or (b, a) in self.deaf
                             or a in self.asleep
@@ -109,13 +109,13 @@
                 was, since = self.between.get((a, b), (False, -9.0))
                 if joined == was:
                     self.between[a, b] = (was, self.now)
-                elif self.now - since >= (LINKED if joined or not up else SILENT):
+                elif self.now - since >= (LINKED if joined or not up else LINK_TIMEOUT_S):
                     self.between[a, b] = (joined, self.now)
-                    if one.up and a == b:
-                        self._linked(name("roll", a), name("writ", a), joined)
-                    elif one.up:
-                        self._linked(name("roll", a), name("roll", b), joined)
-                        self._linked(name("writ", a), name("writ", b), joined)
+                    if one.is_running and a == b:
+                        self._notify_connection(name("roll", a), name("writ", a), joined)
+                    elif one.is_running:
+                        self._notify_connection(name("roll", a), name("roll", b), joined)
+                        self._notify_connection(name("writ", a), name("writ", b), joined)
 
     def _deliver(self, source: str, to: str, message: list) -> None:
         if (waiting := self.asleep.get(ip_of(to))) is not None:
@@ -158,7 +158,7 @@
         window = (one, whom, until)
         self.windows.append(window)
         self._apply()
-        self._later(span, lambda: self._over(window))
+        self._schedule(span, lambda: self._over(window))
 
     def _over(self, window: tuple) -> None:
         self.windows.remove(window)
@@ -166,19 +166,19 @@
 
     def _apply(self) -> None:
         """Make the world as the windows that are open want it."""
-        self.cuts, self.slow, self.deaf = set(), {}, set()
+        self.partitioned_pairs, self.pair_delays_s, self.deaf = set(), {}, set()
         down, full, frozen = set(self.removed), set(), set()
         for one, whom, _ in self.windows:
             pairs = [(a, b) for a in whom for b in self.cores if b not in whom]
             match one.kind:
                 case "cut":
-                    self.cuts |= {frozenset(pair) for pair in pairs}
+                    self.partitioned_pairs |= {frozenset(pair) for pair in pairs}
                 case "deaf":
                     self.deaf |= set(pairs)
                 case "mute":
                     self.deaf |= {(b, a) for a, b in pairs}
                 case "slow":
-                    self.slow |= {frozenset(pair): 0.02 * (1 + one.at % 20) for pair in pairs}
+                    self.pair_delays_s |= {frozenset(pair): 0.02 * (1 + one.at % 20) for pair in pairs}
                 case "kill" | "wipe" | "acker":
                     down |= whom
                 case "full":
@@ -186,10 +186,10 @@
                 case "freeze":
                     frozen |= whom
         for core in self.cores.values():
-            core.full = core.ip in full
-            if not core.up and core.ip not in down:
+            core.is_disk_full = core.ip in full
+            if not core.is_running and core.ip not in down:
                 self.boot(core.ip)
-            if core.ip in frozen and core.up:
+            if core.ip in frozen and core.is_running:
                 self.asleep.setdefault(core.ip, [])
             elif core.ip in self.asleep:
                 for do in self.asleep.pop(core.ip):
@@ -198,10 +198,10 @@
     def kill(self, ip: str, wipe: bool = False) -> None:
         super().kill(ip, wipe)
         self.asleep.pop(ip, None)
-        for flow, asking, via in list(self.open.values()):
+        for flow, request, via in list(self.open.values()):
             if via == ip:
-                del self.open[id(asking)]
-                self._later(self._way(), lambda f=flow, a=asking: self._failed(f, a))
+                del self.open[id(request)]
+                self._schedule(self._way(), lambda f=flow, a=request: self._failed(f, a))
 
     def _acked(self, ip: str) -> None:
         """A change was acknowledged there: whoever waits for that strikes."""
@@ -220,18 +220,18 @@
 
         if wipe:
             self.losing = 0.0
-        self._later(self.dice.uniform(0.0, 0.004), strike)
+        self._schedule(self.dice.uniform(0.0, 0.004), strike)
 
 
-def play(plan: Plan) -> Day:
+def run_plan(plan: Plan) -> Day:
     """Play it to its end; raises Broken with what a caller saw that no register shows, or did not see in calm."""
     day = Day(plan)
     day.start()
     day.run(1.0)
     for errand in plan.errands:
-        day._later(errand.at / 10, lambda e=errand: day.errand(e))
+        day._schedule(errand.at / 10, lambda e=errand: day.errand(e))
     for trouble in plan.troubles:
-        day._later(trouble.at / 10, lambda t=trouble: day.trouble(t))
+        day._schedule(trouble.at / 10, lambda t=trouble: day.trouble(t))
     last = max([e.at for e in plan.errands] + [t.at + 1 for t in plan.troubles], default=0)
     day.run(1.0 + last / 10 + 0.1)
     day.traps.clear()
@@ -241,10 +241,10 @@
     day.peace = True
     try:
         _calm(day)
-    except Broken as broken:  # what callers saw before tells more, if it is wrong
-        raise Broken(_whole(day) or str(broken)) from broken
+    except CheckFailed as broken:  # what callers saw before tells more, if it is wrong
+        raise CheckFailed(_whole(day) or str(broken)) from broken
     if wrong := _whole(day):
-        raise Broken(wrong)
+        raise CheckFailed(wrong)
     return day
 
 
@@ -268,10 +268,10 @@
     (gone,) = day.wait(lambda: day.evacuation("evacuate", "z1"), acknowledge, "an evacuation")
     for op in (made, gone):
         if op.status != 200:
-            raise Broken(f"{day.now:.2f}: a proper order is refused in calm: {op}")
+            raise CheckFailed(f"{day.now:.2f}: a proper order is refused in calm: {op}")
     taken = {op.order: op for op in day.history if op.status == 200 and op.kind in ("put", "patch")}
     again = day.wait(lambda: [day.repeat(op) for op in taken.values()], acknowledge, "orders that are sent again")
     for op in again:
         if op.status != 200:
-            raise Broken(f"{day.now:.2f}: an order that was taken is refused: {op}")
+            raise CheckFailed(f"{day.now:.2f}: an order that was taken is refused: {op}")
     day.wait(everywhere, day.bounds.contact_s, "reading back at each machine")
--- a/tests/system/test_content_retention.py
+++ b/tests/system/test_content_retention.py
@@ -9,7 +9,7 @@
 from fennelpoint.system.store.content_retention import RECEIVED_RETENTION_S, SUPERSEDED_RETENTION_S, retained_digests
 from fennelpoint.system.store.replica import REGISTRY, Replica, SaveContent, Send
 from fennelpoint.system.store.replicated_state import initial_state
-from fennelpoint.testing.core_simulation import World
+from fennelpoint.testing.core_simulation import CoreSimulation
 
 SEEDS = ["a", "b", "c"]
 
@@ -94,17 +94,17 @@
 
 
 def test_allocator_retries_a_lost_configuration_and_grants_no_units_by_an_outdated_one() -> None:
-    world = World()
+    world = CoreSimulation()
     for n, line in enumerate("abc"):
-        world.do(["core", f"{line}1", f"z{line}", f"r{line}"])
-        world.do(["front", f"f{n}", f"z{line}", f"r{line}", "t1=1"])
-    world.rate = 3
+        world.execute(["core", f"{line}1", f"z{line}", f"r{line}"])
+        world.execute(["front", f"f{n}", f"z{line}", f"r{line}", "t1=1"])
+    world.tenant_rate_per_s = 3
     world.start()
     world.put(5, 0, "a1")
     world.run(4.0)
-    world.do(["draw", "f0", "t1", "2"])
+    world.execute(["draw", "f0", "t1", "2"])
     world.run(4.5)
-    assert world.fronts["f0"].drawn["t1"][0] > 0
+    assert world.proxies["f0"].unit_counts["t1"][0] > 0
     original_send = world.send
 
     def send(source: str, to: str, message: list) -> None:
@@ -112,14 +112,14 @@
             original_send(source, to, message)
 
     world.send = send
-    world.rate = 1
+    world.tenant_rate_per_s = 1
     world.put(6, 5, "a1")
     world.run(8.0)
-    world.do(["draw", "f0", "t1", "1"])
+    world.execute(["draw", "f0", "t1", "1"])
     world.run(8.5)
-    assert "t1" not in world.fronts["f0"].drawn
+    assert "t1" not in world.proxies["f0"].unit_counts
     world.send = original_send
     world.run(11.0)
-    world.do(["draw", "f0", "t1", "1"])
+    world.execute(["draw", "f0", "t1", "1"])
     world.run(11.5)
-    assert world.fronts["f0"].drawn["t1"] == [1, 0] and all(f.version == 6 for f in world.fronts.values())
+    assert world.proxies["f0"].unit_counts["t1"] == [1, 0] and all(f.version == 6 for f in world.proxies.values())
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -21,8 +21,8 @@
 from fennelpoint.system.store import replica
 from fennelpoint.system.store.replica import FOUNDING_BALLOT, KEY, Replica, Send
 from fennelpoint.system.store.replicated_state import initial_state
-from fennelpoint.testing.core_machines import Broken
-from fennelpoint.testing.core_simulation import play
+from fennelpoint.testing.core_machines import CheckFailed
+from fennelpoint.testing.core_simulation import run_scenario
 
 SCENARIOS = Path(__file__).parent / "scenarios"
 
@@ -50,14 +50,14 @@
 def test_scenarios_detect_that_an_answer_to_an_older_incarnation_counts(name: str, seed: int, fenced: bool) -> None:
     text = (SCENARIOS / "site").read_text() + (SCENARIOS / name).with_suffix(".txt").read_text()
     if fenced:
-        play(text, seed)
+        run_scenario(text, seed)
     else:
-        with pytest.raises(Broken):
-            play(text, seed)
+        with pytest.raises(CheckFailed):
+            run_scenario(text, seed)
 
 
 def test_a_drain_is_not_acknowledged_by_replicas_of_a_drain_at_an_earlier_incarnation(fenced: bool) -> None:
-    world = play((SCENARIOS / "site").read_text() + "at 4 late 0.4 hold\nrestart roll a1")
+    world = run_scenario((SCENARIOS / "site").read_text() + "at 4 late 0.4 hold\nrestart roll a1")
 
     def drain(id: str) -> None:
         body = {"address": "9.9.9.9:80", "status": {"state": "draining", "sequence": 1},
@@ -72,7 +72,7 @@
     drain("x1")
     world.run(4.34)
     for line in ("late 5 backends", "restart roll a1"):     # the second drain does not reach the others in time
-        world.do(line.split())
+        world.execute(line.split())
     world.run(4.64)
     # The new incarnation has made as many requests as the earlier one had.
     world.cores["a1"].registry.last_token = first_token() + requests_made
--- a/tests/system/test_invalid_configurations.py
+++ b/tests/system/test_invalid_configurations.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fennelpoint.testing.core_simulation import World, play
+from fennelpoint.testing.core_simulation import CoreSimulation, run_scenario
 
 TENANTS, SERVICES, HOSTS, ROUTES = 140, 3, 20, 3
 CORE = """
@@ -99,7 +99,7 @@
     """Sends configurations one after the other, each at the next core machine."""
 
     def __init__(self) -> None:
-        self.world: World = play(CORE)
+        self.world: CoreSimulation = run_scenario(CORE)
         self.world.run(3.0)
         self.version = 0
         self.send(full(10, 0))
@@ -108,12 +108,12 @@
     def send(self, value: dict | bytes) -> tuple[int, str]:
         """Status and text of the answer."""
         world = self.world
-        label = f"call {len(world.asked)}"
-        world.call("PUT", "/api/configuration", value, list(world.cores)[len(world.asked) % 3], label)
+        label = f"call {len(world.calls_by_label)}"
+        world.call("PUT", "/api/configuration", value, list(world.cores)[len(world.calls_by_label) % 3], label)
         until = world.now + ANSWER_WITHIN
         while not world.status(label) and world.now < until:
             world.run(world.now + 0.02)
-        reply = world.replies.get(id(world.asked[label][-1]))
+        reply = world.replies.get(id(world.calls_by_label[label][-1]))
         return (0, "") if reply is None else (reply.status, json.dumps(reply.value))
 
     def next(self) -> dict:
@@ -128,8 +128,8 @@
 
     def check_in_force(self) -> None:
         self.world.run(self.world.now + 1.0)
-        assert {front.version for front in self.world.fronts.values()} == {self.version}
-        assert all(self.world.allows(front) for front in self.world.fronts.values())
+        assert {front.version for front in self.world.proxies.values()} == {self.version}
+        assert all(self.world.may_send_requests(front) for front in self.world.proxies.values())
 
 
 @pytest.mark.parametrize("spoil", INVALID, ids=lambda spoil: spoil.__name__)
@@ -164,7 +164,7 @@
         operator.world.call("PUT", "/api/configuration", spoilt, ip, "spoilt")
         operator.world.call("PUT", "/api/configuration", valid, ip, "valid")
     operator.world.run(operator.world.now + 2.0)
-    replies = {label: {operator.world.replies[id(asking)].status for asking in operator.world.asked[label]}
+    replies = {label: {operator.world.replies[id(asking)].status for asking in operator.world.calls_by_label[label]}
                for label in ("spoilt", "valid")}  # fmt: skip
     assert replies == {"spoilt": {400}, "valid": {200}}
     operator.version = valid["version"]
--- a/tests/system/test_lease_bounds.py
+++ b/tests/system/test_lease_bounds.py
@@ -10,7 +10,7 @@
 
 from fennelpoint.system.settings import CLOCK_RATES, KEPT_BY_LEASE, LEAST_LEASE, Bounds, read
 from fennelpoint.system.settings_schema import check_settings
-from fennelpoint.testing.core_simulation import World
+from fennelpoint.testing.core_simulation import CoreSimulation
 
 SITE = (Path(__file__).parent / "scenarios" / "site").read_text()
 SETTINGS_TEXT = """node_name=f
@@ -37,18 +37,18 @@
 @settings(max_examples=12)
 @given(bounds=DEPLOYMENTS, cut_after=st.floats(0.0, 0.5))
 def test_no_proxy_uses_an_older_version_beyond_the_bounds_of_its_deployment(bounds: Bounds, cut_after: float) -> None:
-    world = World(1, bounds)
+    world = CoreSimulation(1, bounds)
     for line in SITE.splitlines():
-        world.do(line.split())
+        world.execute(line.split())
     world.run(2.0)
-    world.do("put 3 on 0 via a1".split())
+    world.execute("put 3 on 0 via a1".split())
     world.run(4.0 + cut_after)
-    assert all(world.allows(front) for front in world.fronts.values())
-    world.do("cut fa from core fb fc".split())
-    world.do("put 5 on 3 via b1 x".split())
+    assert all(world.may_send_requests(front) for front in world.proxies.values())
+    world.execute("cut fa from core fb fc".split())
+    world.execute("put 5 on 3 via b1 x".split())
     world.run(world.now + bounds.newest_within_s)
-    assert not world.allows(world.fronts["fa"])
-    assert world.fronts["fa"].version == 3 and world.fronts["fb"].version == 5
+    assert not world.may_send_requests(world.proxies["fa"])
+    assert world.proxies["fa"].version == 3 and world.proxies["fb"].version == 5
 
 
 @pytest.mark.parametrize("name", KEPT_BY_LEASE)
--- a/tests/system/test_linearizable.py
+++ b/tests/system/test_linearizable.py
@@ -18,10 +18,10 @@
 from fennelpoint.system.actions import Send
 from fennelpoint.system.store import replica
 from fennelpoint.system.store.replica import REGISTRY, Replica
-from fennelpoint.testing.core_machines import Broken
+from fennelpoint.testing.core_machines import CheckFailed
 from fennelpoint.testing.linearizable import Held, Op, fault, step
 from fennelpoint.testing.operator_plans import Errand, Plan, Trouble
-from fennelpoint.testing.operators import play
+from fennelpoint.testing.operators import run_plan
 
 RUNS, SEED, SHRINK = (os.environ.get("LARCHWING_HISTORIES", "") + "::").split(":")[:3]
 ERRANDS = ("put", "patch", "get", "snapshot", "evacuate", "restore")
@@ -52,19 +52,19 @@
 @random_runs(34)
 @given(plans((3, 3)))
 def test_history_of_three_machines_is_linearizable(plan: Plan) -> None:
-    play(plan)
+    run_plan(plan)
 
 
 @random_runs(34)
 @given(plans((4, 5)))
 def test_history_of_five_machines_is_linearizable(plan: Plan) -> None:
-    play(plan)
+    run_plan(plan)
 
 
 @random_runs(34)
 @given(plans((6, 7)))
 def test_history_of_machines_with_standbys_is_linearizable(plan: Plan) -> None:
-    play(plan)
+    run_plan(plan)
 
 
 # Injected faults
@@ -74,9 +74,9 @@
     @settings(max_examples=100, phases=[Phase.generate], suppress_health_check=list(HealthCheck), database=None)
     @given(plans((3, 5), errands, troubles))
     def check(plan: Plan) -> None:
-        play(plan)
+        run_plan(plan)
 
-    with pytest.raises(Broken) as broken:
+    with pytest.raises(CheckFailed) as broken:
         check()
     return str(broken.value)
 
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -12,8 +12,8 @@
 from fennelpoint.fleet.store import MOST_CONTENTS
 from fennelpoint.system.frames import pack
 from fennelpoint.system.mesh import ip_of
-from fennelpoint.testing.core_machines import Core, Front
-from fennelpoint.testing.core_simulation import World
+from fennelpoint.testing.core_machines import CoreMachine, ProxyMachine
+from fennelpoint.testing.core_simulation import CoreSimulation
 
 CORES = {"a1": ("za", "ra"), "b1": ("zb", "rb"), "c1": ("zc", "rc"), "a2": ("zd", "ra"), "b2": ("ze", "rb")}
 RECOVERY_TIMEOUT_S = 3.0
@@ -21,7 +21,7 @@
 REQUEST_RECORD_BYTES = 60
 
 
-class LongRunningWorld(World):
+class LongRunningWorld(CoreSimulation):
     """A simulated system that makes one change after another, and counts the bytes sent to one machine."""
 
     def __init__(self, seed: int) -> None:
@@ -29,7 +29,7 @@
         self.rng, self.changes_made, self.proxies_made = Random(seed), 0, 0
         self.metered_ip, self.metered_bytes = "", 0
         for ip, (zone, region) in CORES.items():
-            self.cores[ip] = Core(ip, zone, region)
+            self.cores[ip] = CoreMachine(ip, zone, region)
         for zone, region in list(CORES.values())[:3]:
             self.add_proxy(zone, region)
         self.start()
@@ -38,8 +38,8 @@
     def add_proxy(self, zone: str, region: str) -> None:
         self.proxies_made += 1
         ip = f"f{self.proxies_made}"
-        self.fronts[ip] = Front(ip, zone, region, asked={"t1": 2.0})
-        if self.started:
+        self.proxies[ip] = ProxyMachine(ip, zone, region, request_rates={"t1": 2.0})
+        if self.is_started:
             self.boot(ip)
 
     def send(self, source: str, to: str, message: list) -> None:
@@ -49,7 +49,7 @@
 
     @property
     def running_cores(self) -> list[str]:
-        return [ip for ip, core in self.cores.items() if core.up]
+        return [ip for ip, core in self.cores.items() if core.is_running]
 
     def change(self) -> None:
         """Make one change, retried at other machines until it is accepted."""
@@ -67,9 +67,9 @@
 
     def has_recovered(self, ip: str) -> bool:
         """Whether a member votes and has the newest state and configuration, in its store and in its registry."""
-        core, newest = self.cores[ip], max(c.store.state.get("rev", -1) for c in self.cores.values() if c.up)
+        core, newest = self.cores[ip], max(c.store.state.get("rev", -1) for c in self.cores.values() if c.is_running)
         store, registry = core.store, core.registry
-        return (core.up and store.acceptor.can_vote and store.state.get("version") == self.changes_made
+        return (core.is_running and store.acceptor.can_vote and store.state.get("version") == self.changes_made
                 and registry.cluster_state.get("rev", -1) >= newest - 1
                 and registry.allocation.parameters.digest == store.state["digest"]
                 and store.state["digest"] in core.contents)
@@ -90,21 +90,21 @@
         """Make one member or proxy fail, and repair it after some changes."""
         ip = self.rng.choice(list(CORES))
         kind = self.rng.choice(["stop", "wipe", "slow", "cut", "front"])
-        others = [other for other in [*self.cores, *self.fronts] if other != ip]
+        others = [other for other in [*self.cores, *self.proxies] if other != ip]
         if kind in ("stop", "wipe"):
             self.kill(ip, wipe=kind == "wipe")
         elif kind == "slow":
-            self.slow |= {frozenset((ip, other)): 0.15 for other in others}
+            self.pair_delays_s |= {frozenset((ip, other)): 0.15 for other in others}
         elif kind == "cut":
-            self.cuts |= {frozenset((ip, other)) for other in others}
+            self.partitioned_pairs |= {frozenset((ip, other)) for other in others}
         else:
-            replaced = self.rng.choice([proxy for proxy in self.fronts.values() if proxy.up])
+            replaced = self.rng.choice([proxy for proxy in self.proxies.values() if proxy.is_running])
             self.kill(replaced.ip)
             self.add_proxy(replaced.zone, replaced.region)
         for _ in range(self.rng.randint(3, 12)):
             self.change()
-        self.slow.clear()
-        self.cuts.clear()
+        self.pair_delays_s.clear()
+        self.partitioned_pairs.clear()
         if kind in ("stop", "wipe"):
             self.boot(ip)
         self.run(self.now + 1.0)
@@ -141,7 +141,7 @@
     if isinstance(thing, list | tuple | set | frozenset | deque):
         return len(thing) + sum(count_items(item, seen) for item in thing)
     names = getattr(type(thing), "__slots__", None) or getattr(thing, "__dict__", {})
-    if not type(thing).__module__.startswith("fennelpoint") or isinstance(thing, Core):
+    if not type(thing).__module__.startswith("fennelpoint") or isinstance(thing, CoreMachine):
         return 0
     return sum(count_items(getattr(thing, name, None), seen) for name in names)
 
--- a/tests/system/test_operator_cli.py
+++ b/tests/system/test_operator_cli.py
@@ -13,7 +13,7 @@
 from fennelpoint.system import operator_cli, settings
 from fennelpoint.system.http_server import Web
 from fennelpoint.system.settings_schema import check_settings
-from fennelpoint.testing.core_simulation import World
+from fennelpoint.testing.core_simulation import CoreSimulation
 
 BOOT = """node_name=n\nnode_role=r\nip_address=10.1.0.8\navailability_zone=za\nregion=ra\nzones.za=ra\n
 internal_ports=7600,7615\nseed_nodes=10.1.0.11:8200,10.2.0.5:8200\nfirst_start=true\nlimits.memory_mb=300\n
@@ -23,17 +23,17 @@
 @pytest.fixture
 def core():
     """A founded core in simulated time, played on by a thread while its calls come over a socket."""
-    world = World()
+    world = CoreSimulation()
     for line in (Path(__file__).parent / "scenarios" / "site").read_text().splitlines():
-        world.do(line.split())
+        world.execute(line.split())
     world.run(4.0)
     loop, ready, address = asyncio.new_event_loop(), threading.Event(), []
 
     def take(asking) -> None:
-        world.asked.setdefault("", []).append(asking)   # replies are kept by identity
+        world.calls_by_label.setdefault("", []).append(asking)   # replies are kept by identity
         leads = (c for c in world.cores.values() if c.registry.allocation.allocator is not None)
         at = next((c for c in leads if asking.call.name == "parts"), world.cores["a1"])
-        world._roll(at, at.registry.on_call(asking, world.now))
+        world._run_registry_actions(at, at.registry.on_call(asking, world.now))
         world.run(world.now + 0.5)
         if (reply := world.replies.get(id(asking))) is not None:
             asking.answer(reply)
@@ -135,10 +135,10 @@
 
 
 def test_a_new_core_takes_a_snapshot_and_goes_on_from_there(tmp_path) -> None:
-    old, new = World(), World(2)
+    old, new = CoreSimulation(), CoreSimulation(2)
     for world in (old, new):
         for line in (Path(__file__).parent / "scenarios" / "site").read_text().splitlines():
-            world.do(line.split())
+            world.execute(line.split())
         world.run(2.0)
     old.put(3, 0, "a1")
     old.run(3.0)
@@ -146,7 +146,7 @@
     old.run(4.0)
     old.call("GET", "/api/snapshot", None, "c1", "snapshot")
     old.run(5.0)
-    snapshot = old.replies[id(old.asked["snapshot"][-1])].value
+    snapshot = old.replies[id(old.calls_by_label["snapshot"][-1])].value
     assert snapshot["version"] == 3 and snapshot["evac"] == ["zb"]
     new.call("PUT", "/api/snapshot", snapshot, "b1", "revive")
     new.run(4.0)
@@ -154,19 +154,19 @@
     new.put(5, 3, "c1")
     new.run(6.0)
     assert [new.status(label) for label in ("revive", "again", "put 5")] == [200, 200, 200]
-    assert new.cores["a2"].registry.cluster_state["evac"] == ["zb"] and new.fronts["fa"].version == 5
+    assert new.cores["a2"].registry.cluster_state["evac"] == ["zb"] and new.proxies["fa"].version == 5
 
 
 def test_who_does_not_reckon_names_who_does() -> None:
-    world = World()
+    world = CoreSimulation()
     for line in (Path(__file__).parent / "scenarios" / "site").read_text().splitlines():
-        world.do(line.split())
+        world.execute(line.split())
     world.put(3, 0, "a1")
     world.run(4.0)
     (who,) = (ip for ip, core in world.cores.items() if core.registry.allocation.allocator is not None)
     for ip in world.cores:
         world.call("GET", "/api/parts", None, ip, ip)
-        reply = world.replies[id(world.asked[ip][-1])]
+        reply = world.replies[id(world.calls_by_label[ip][-1])]
         assert reply.status == 200 if ip == who else ("Location", f"http://{who}:8200/api/parts") in reply.headers
 
 
--- a/tests/system/test_ports.py
+++ b/tests/system/test_ports.py
@@ -9,7 +9,7 @@
 from fennelpoint.system.calls import TABLE, find
 from fennelpoint.system.frames import MOST, BadFrame, Unpacker, pack
 from fennelpoint.system.http_server import Asking, Reply, Visit, Web
-from fennelpoint.testing.core_simulation import World
+from fennelpoint.testing.core_simulation import CoreSimulation
 
 WORDS = st.text(max_size=8)
 VALUES = st.recursive(st.none() | st.booleans() | st.integers(-2 ** 40, 2 ** 40) | st.floats() | WORDS,
@@ -70,12 +70,12 @@
 @example(find("control_plane", "PUT", "/api/configuration")[0], {**WHOLE, "version": 1 << 70})
 @example(find("control_plane", "PUT", "/api/configuration")[0], {**WHOLE, "note": "\ud800"})
 def test_any_json_in_a_call_is_told_what_is_wrong_with_it(call, value) -> None:
-    world = World()
+    world = CoreSimulation()
     for ip in ("a1", "b1", "c1"):
-        world.do(["core", ip, f"z{ip}", f"r{ip}"])
+        world.execute(["core", ip, f"z{ip}", f"r{ip}"])
     world.start()
     world.run(0.2)
     asking = Asking(call, "i-1", {}, json.dumps(value).encode(), None)
-    world._roll(world.cores["a1"], world.cores["a1"].registry.on_call(asking, world.now))
+    world._run_registry_actions(world.cores["a1"], world.cores["a1"].registry.on_call(asking, world.now))
     world.run(0.6)
     assert 400 <= world.replies[id(asking)].status < 500
--- a/tests/system/test_quorum_check.py
+++ b/tests/system/test_quorum_check.py
@@ -15,8 +15,8 @@
 from fennelpoint.system.registry.state_machine import Answer, RegistryStateMachine
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store.replicated_state import initial_state
-from fennelpoint.testing.core_machines import Broken
-from fennelpoint.testing.core_simulation import play
+from fennelpoint.testing.core_machines import CheckFailed
+from fennelpoint.testing.core_simulation import run_scenario
 
 OTHERS = ["b", "c", "d", "e"]
 
@@ -77,8 +77,8 @@
     """The planted fault takes the state of connections for proof of contact."""
     monkeypatch.setattr(QuorumCheck, "has_quorum", lambda self, is_majority, now: True)
     directory = Path(__file__).parent / "scenarios"
-    with pytest.raises(Broken):
-        play((directory / "site").read_text() + (directory / f"{scenario}.txt").read_text())
+    with pytest.raises(CheckFailed):
+        run_scenario((directory / "site").read_text() + (directory / f"{scenario}.txt").read_text())
 
 
 def test_a_patch_does_not_continue_after_its_call_has_timed_out() -> None:
--- a/tests/system/test_restored.py
+++ b/tests/system/test_restored.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fennelpoint.testing.core_simulation import play
+from fennelpoint.testing.core_simulation import run_scenario
 
 SITE = (Path(__file__).parent / "scenarios" / "site").read_text()
 DEAD = """
@@ -24,4 +24,4 @@
 @pytest.mark.parametrize("kill", ["kill a1 wipe", "kill a1"])
 def test_dead_backend_stays_lost_at_all_proxies_when_a_core_machine_comes_back(kill: str) -> None:
     for seed in range(1, 4):
-        play(SITE + DEAD.format(kill=kill), seed)
+        run_scenario(SITE + DEAD.format(kill=kill), seed)
--- a/tests/system/test_size.py
+++ b/tests/system/test_size.py
@@ -5,12 +5,12 @@
 import pytest
 
 from fennelpoint.system.frames import pack
-from fennelpoint.testing.core_simulation import World, grown
+from fennelpoint.testing.core_simulation import CoreSimulation, build_simulation
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_twelve_machines_that_start_at_once_agree_on_a_first_configuration_within_a_second(seed: int) -> None:
-    world = grown(12, 18, seed)
+    world = build_simulation(12, 18, seed)
     world.run(2.0)
     world.put(3, 0, "c01")
     longest = 0
@@ -19,19 +19,19 @@
         longest = max(longest, *(len(core.store.pending_changes) for core in world.cores.values()))
         if world.now >= 3.0:
             assert world.status("put 3") == 200
-    assert longest <= 2 and all(world.allows(front) for front in world.fronts.values())
+    assert longest <= 2 and all(world.may_send_requests(front) for front in world.proxies.values())
     assert len(world.cores["c00"].store.state["ready"]) == 7 and len(world.cores["c00"].store.state["voters"]) == 5
 
 
-def quiet(fronts: int, seconds: float = 4.0) -> tuple[World, dict[str, float]]:
+def quiet(fronts: int, seconds: float = 4.0) -> tuple[CoreSimulation, dict[str, float]]:
     """Bytes a second between regions, by kind of message, while nothing happens."""
-    world = grown(12, fronts, 1)
+    world = build_simulation(12, fronts, 1)
     world.run(2.0)
     world.put(3, 0, "c01")
     world.run(8.0)
-    world.sent.clear()
+    world.bytes_between_regions.clear()
     world.run(8.0 + seconds)
-    return world, {kind: size / seconds for kind, size in world.sent.items()}
+    return world, {kind: size / seconds for kind, size in world.bytes_between_regions.items()}
 
 
 def test_a_quiet_second_costs_what_its_fronts_ask_and_no_value_that_is_known() -> None:
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("machines", [12, 15, 24])
 def test_machines_that_start_at_once_stay_in_touch_while_they_become_members_one_by_one(machines: int) -> None:
     """Who was no member yet got no word after the first and fell out of touch: the last ones for seconds."""
-    world = grown(machines, 18, 1)
+    world = build_simulation(machines, 18, 1)
     world.run(1.5)
     while world.now < 8.0:
         world.run(world.now + 0.1)
@@ -64,7 +64,7 @@
 class Metered:
     """What is delivered in a world, by who speaks to whom, and by kind."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: CoreSimulation) -> None:
         self.messages: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()
         self.kinds: Counter[str] = Counter()
@@ -78,9 +78,9 @@
         self.deliver(source, to, message)
 
 
-def metered(fronts: int) -> tuple[World, Metered]:
+def metered(fronts: int) -> tuple[CoreSimulation, Metered]:
     """A quiet world, metered for four seconds."""
-    world = grown(5, fronts, 1)
+    world = build_simulation(5, fronts, 1)
     world.run(2.0)
     world.put(3, 0, "c01")
     world.run(8.0)
@@ -102,5 +102,5 @@
     before = meter.kinds["roll>span content"]
     world.put(5, 3, "c01")
     world.run(13.0)
-    assert all(front.version == 5 for front in world.fronts.values())
+    assert all(front.version == 5 for front in world.proxies.values())
     assert meter.kinds["roll>span content"] - before == 40
