--- a/benchmarks/retry_budget.py
+++ b/benchmarks/retry_budget.py
@@ -32,8 +32,8 @@
 
 from fennelpoint.system.proxy.controller import ProxyController
 from fennelpoint.system.proxy.retry_budget import RetryBudget
-from fennelpoint.testing.retry_histories import drawn
-from fennelpoint.testing.retry_simulation import RetryWorld
+from fennelpoint.testing.retry_histories import run_random_history
+from fennelpoint.testing.retry_simulation import RetrySimulation
 
 PART, MOST_SAVED = 0.8, 40.0  # of the ratio; retries beside the slack, as it was
 SITES = ((9, 41.0, 58.0), (9, 96.0, 58.0), (77, 47.0, 194.0), (77, 184.0, 194.0), (77, 429.0, 194.0))
@@ -125,14 +125,14 @@
         for failing in FAILING:
             row = f"{proxies:7} {rate:6.0f} {failing:7.2f}  "
             for decider in VARIANTS.values():
-                world = RetryWorld(proxies, slack, decider=decider)
+                world = RetrySimulation(proxies, slack, controller_type=decider)
                 world.serve(15.0, rate)
-                asked, before = world.asked, world.served
+                asked, before = world.request_count, world.served_count
                 world.fail("a", failing)
                 world.serve(seconds, rate)
-                worst = world.counter.worst()
+                worst = world.counter.worst_window()
                 window = f"{worst.retries}/{worst.allowed:.0f}" if worst is not None else "-"
-                row += f"{(world.served - before) / (world.asked - asked):>12.3f} {window:>11}"
+                row += f"{(world.served_count - before) / (world.request_count - asked):>12.3f} {window:>11}"
             print(row, flush=True)
 
 
@@ -140,9 +140,9 @@
     """Histories played, retries received, and the worst window of each that broke the rule."""
     retries, broken = 0, []
     for number in range(first, first + count):
-        counter = drawn(number, VARIANTS[variant]).counter
+        counter = run_random_history(number, VARIANTS[variant]).counter
         retries += sum(len(times) for times in counter.retries.values())
-        worst = counter.worst()
+        worst = counter.worst_window()
         if worst is not None and worst.excess > 0.0:
             broken.append(f"history {number}: {worst}")
     return count, retries, broken
--- a/fennelpoint/testing/linearizable.py
+++ b/fennelpoint/testing/linearizable.py
@@ -1,8 +1,8 @@
-"""Whether a history of orders and read-backs, as their callers saw it, could be that of one register.
+"""Linearizability checker: whether the observed history of changes and reads is possible for a single register.
 
-The search of Wing and Gong with Lowe's memory: take next any call that no unfinished one has to come before, as long
-as the sequential specification gives the answer that its caller got.  A call with no clear answer may have taken
-effect at any moment after it began, or never.  Knows nothing of the deciders.
+The search of Wing and Gong with Lowe's memoization: take next any operation that no unfinished one must precede, as
+long as the sequential specification gives the result that its caller got. An operation without a definite reply may
+have taken effect at any time after it began, or never. Independent of the state machines under test.
 """
 
 from __future__ import annotations
@@ -11,32 +11,33 @@
 from dataclasses import dataclass, replace
 from math import inf
 
-Routes = frozenset[tuple[str, str]]     # names and what they stand for
+Routes = frozenset[tuple[str, str]]     # names and path prefixes
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """The register: the newest configuration, the evacuated zones, and the orders that were taken."""
+class RegisterState:
+    """State of the register: the newest configuration, the evacuated zones, and the accepted changes."""
 
     version: int = 0
     base: int = 0
     routes: Routes = frozenset()
     zones: frozenset[str] = frozenset()
-    taken: frozenset[int] = frozenset()
+    accepted: frozenset[int] = frozenset()  # by `Op.order`
 
 
 @dataclass(frozen=True, slots=True)
 class Op:
-    """One call from its first try to its clear answer, in s; an order keeps its number when it is sent again.
+    """One operation from its first attempt to its definite reply (s); `order` is its number, kept when it is resent.
 
-    `kind` is put (whole), patch, evacuate, restore, get or snapshot.  A patch's `routes` are added or replaced by
-    name and `gone` are removed.  `seen` is what a read brought: version, base, routes and, of a snapshot, zones.
+    `kind` is put (a complete configuration), patch, evacuate, restore, get or snapshot. A patch adds or replaces
+    `routes` by name and removes `gone`. `seen` is the result of a read: version, base version, routes and, for a
+    snapshot, evacuated zones.
     """
 
     order: int
     kind: str
     began: float
-    ended: float = inf      # no clear answer
+    ended: float = inf      # inf: no definite reply
     status: int = 0
     version: int = 0
     base: int = 0
@@ -46,69 +47,72 @@
     seen: tuple | None = None
 
     def __str__(self) -> str:
-        what = {"put": f"{self.version} on {self.base}", "patch": f"{self.version} on {self.base}"}.get(
+        summary = {"put": f"{self.version} on {self.base}", "patch": f"{self.version} on {self.base}"}.get(
             self.kind, self.zone or (self.seen and (self.seen[0], *map(sorted, self.seen[2:]))))
-        end = f"{self.ended:.3f} {self.status}" if self.ended < inf else "no answer"
-        return f"{self.began:.3f}-{end} {self.kind} #{self.order} {what}"
+        outcome = f"{self.ended:.3f} {self.status}" if self.ended < inf else "no answer"
+        return f"{self.began:.3f}-{outcome} {self.kind} #{self.order} {summary}"
 
 
-def step(held: Held, op: Op) -> Held | None:
-    """The register after a call that got the answer it got; none where that answer is wrong, or nothing would change
-    by a call without one."""
+def apply_operation(state: RegisterState, op: Op) -> RegisterState | None:
+    """The state after an operation with its result.
+
+    None if the result is impossible in this state, or if an operation without a reply would change nothing.
+    """
     if op.kind in ("get", "snapshot"):
-        now = (held.version, held.base, held.routes, held.zones)
-        return held if op.seen == (now if op.kind == "snapshot" else now[:3]) else None
+        current = (state.version, state.base, state.routes, state.zones)
+        return state if op.seen == (current if op.kind == "snapshot" else current[:3]) else None
     if op.kind in ("evacuate", "restore"):
-        zones = held.zones | {op.zone} if op.kind == "evacuate" else held.zones - {op.zone}
+        zones = state.zones | {op.zone} if op.kind == "evacuate" else state.zones - {op.zone}
         if op.ended == inf:
-            return None if zones == held.zones else replace(held, zones=zones)
-        return replace(held, zones=zones) if op.status == 200 else None
-    if op.order in held.taken:
-        return held if op.status == 200 else None
-    fits = op.base == held.version and (op.kind == "put" or held.version > 0)
-    above = op.version > held.version
+            return None if zones == state.zones else replace(state, zones=zones)
+        return replace(state, zones=zones) if op.status == 200 else None
+    if op.order in state.accepted:
+        return state if op.status == 200 else None
+    is_base_current = op.base == state.version and (op.kind == "put" or state.version > 0)
+    is_version_newer = op.version > state.version
     if op.status in (400, 412):
-        wrong = {412: not fits, 400: not above}[op.status]
-        return held if wrong else None
-    if not (fits and above and (op.status == 200 or op.ended == inf)):
+        is_correct_refusal = {412: not is_base_current, 400: not is_version_newer}[op.status]
+        return state if is_correct_refusal else None
+    if not (is_base_current and is_version_newer and (op.status == 200 or op.ended == inf)):
         return None
     routes = op.routes
     if op.kind == "patch":
-        routes = frozenset({**dict(held.routes), **dict(op.routes)}.items())
+        routes = frozenset({**dict(state.routes), **dict(op.routes)}.items())
         routes = frozenset(pair for pair in routes if pair[0] not in op.gone)
-    return Held(op.version, op.base, routes, held.zones, held.taken | {op.order})
+    return RegisterState(op.version, op.base, routes, state.zones, state.accepted | {op.order})
 
 
-def fault(history: Iterable[Op]) -> str:
-    """Why no register has this history, in a few lines; empty where one has."""
+def find_violation(history: Iterable[Op]) -> str:
+    """Why the history is not linearizable, in a few lines; empty if it is."""
     ops = sorted(history, key=lambda op: op.began)
     complete = sum(1 << i for i, op in enumerate(ops) if op.ended < inf)
-    stack, been, best = [(0, Held())], set(), (0, Held(), 0)
+    stack, visited, best = [(0, RegisterState())], set(), (0, RegisterState(), 0)
     while stack:
-        done, held = stack.pop()
-        if not complete & ~done:
+        taken, state = stack.pop()
+        if not complete & ~taken:
             return ""
-        if (done, held) in been:
+        if (taken, state) in visited:
             continue
-        been.add((done, held))
-        left = [i for i in range(len(ops)) if not done >> i & 1]
-        first = min(ops[i].ended for i in left)
-        count = (done & complete).bit_count()
-        if count >= best[0]:
-            best = count, held, done
-        nexts = []
-        for i in left:
-            if ops[i].began > first:
+        visited.add((taken, state))
+        remaining = [i for i in range(len(ops)) if not taken >> i & 1]
+        earliest_end = min(ops[i].ended for i in remaining)
+        answered_count = (taken & complete).bit_count()
+        if answered_count >= best[0]:
+            best = answered_count, state, taken
+        successors = []
+        for i in remaining:
+            if ops[i].began > earliest_end:
                 break
-            if (after := step(held, ops[i])) is not None:
+            if (after := apply_operation(state, ops[i])) is not None:
                 if ops[i].kind in ("get", "snapshot"):
-                    nexts = [(done | 1 << i, after)]    # a read that fits now constrains nothing else
+                    successors = [(taken | 1 << i, after)]    # taking a read that fits now excludes no other order
                     break
-                nexts.append((done | 1 << i, after))
-        stack += nexts
-    count, held, done = best
-    left = [op for i, op in enumerate(ops) if not done >> i & 1]
-    first = min(op.ended for op in left)
-    return "\n".join([f"no order fits; the longest has {count} of {complete.bit_count()} answered calls and ends with"
-                      f" version {held.version}, evacuated {sorted(held.zones)}; next would be one of:",
-                      *(f"  {op}" for op in left if op.began <= first)])
+                successors.append((taken | 1 << i, after))
+        stack += successors
+    answered_count, state, taken = best
+    remaining = [op for i, op in enumerate(ops) if not taken >> i & 1]
+    earliest_end = min(op.ended for op in remaining)
+    return "\n".join([f"no order fits; the longest has {answered_count} of {complete.bit_count()} answered operations"
+                      f" and ends with version {state.version}, evacuated {sorted(state.zones)};"
+                      " next would be one of:",
+                      *(f"  {op}" for op in remaining if op.began <= earliest_end)])
--- a/fennelpoint/testing/operator_calls.py
+++ b/fennelpoint/testing/operator_calls.py
@@ -1,4 +1,4 @@
-"""Calls of operators in simulated time: the same order again, at the next machine, until there is a clear answer."""
+"""Operators' calls in simulated time, each retried unchanged at other machines until there is a definite reply."""
 
 from __future__ import annotations
 
@@ -15,75 +15,83 @@
 
 if TYPE_CHECKING:
     from fennelpoint.testing.core_machines import CoreMachine
-    from fennelpoint.testing.operator_plans import Errand, Plan
+    from fennelpoint.testing.operator_plans import OperatorAction, Plan
 
-STEP_S = 0.04  # s between two looks at what was answered
-SILENCE = 1.0  # s that a caller waits
-PAUSE, LONGEST = 0.05, 0.8  # s before the next try; doubles each time
-PATIENCE = 6.0  # s that an order is sent
-MOST_ORDERS = 8  # under way at once
-CHANGES = {"put": "PUT", "patch": "PATCH", "evacuate": "POST", "restore": "DELETE"}
+STEP_S = 0.04  # between two checks for results
+REPLY_TIMEOUT_S = 1.0  # of one attempt
+FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.05, 0.8  # doubles with each attempt
+OPERATION_TIMEOUT_S = 6.0  # for all attempts together
+MAX_PENDING = 8  # concurrent operations
+CHANGE_METHODS = {"put": "PUT", "patch": "PATCH", "evacuate": "POST", "restore": "DELETE"}
 
 
 @dataclass(eq=False)
-class Flow:
-    """One call with all its tries."""
+class PendingOperation:
+    """One operation with all its attempts."""
 
     op: dict
     method: str
     path: str
     body: bytes
-    until: float
-    via: str = ""  # the machine of the try that is under way
-    only: str = ""  # no other will do
-    tries: int = 0
-    follows: int = 0
+    deadline: float
+    target: str = ""  # the machine of the current attempt
+    required_target: str = ""  # the only machine allowed; empty for any
+    attempts: int = 0
+    redirects: int = 0
     request: Asking | None = None
-    answered: Op | None = None
+    result: Op | None = None
 
 
 class OperatorCalls:
-    """The operators of an `operators.Day`, which is this and what it names."""
+    """Mixin of `operators.OperatorSimulation` for the operators' calls; declares the attributes that it uses."""
 
     plan: Plan
     now: float
-    dice: Random
+    rng: Random
     cores: dict[str, CoreMachine]
     removed: set[str]
-    asleep: dict[str, list[Callable[[], None]]]
+    frozen_queues: dict[str, list[Callable[[], None]]]
     history: list[Op]
-    flows: list[Flow]
-    open: dict[int, tuple[Flow, Asking, str]]
-    kept: list[Asking]
-    known: list[int]
-    orders: int
-    bodies: dict[int, bytes]
-    peace: bool
-
-    def _way(self) -> float:
-        return self.dice.uniform(0.001, 0.02)
-
-    def errand(self, one: Errand) -> None:
-        if len(self.flows) >= MOST_ORDERS:
+    pending: list[PendingOperation]
+    open_requests: dict[int, tuple[PendingOperation, Asking, str]]
+    sent_requests: list[Asking]
+    known_versions: list[int]
+    change_count: int
+    change_bodies: dict[int, bytes]
+    are_faults_over: bool
+
+    def _network_delay(self) -> float:
+        return self.rng.uniform(0.001, 0.02)
+
+    def start_action(self, action: OperatorAction) -> None:
+        """Begin an action, unless too many operations are pending."""
+        if len(self.pending) >= MAX_PENDING:
             return
-        base = self.known[one.who] if one.blind else max(self.known)
-        kind = "put" if one.kind == "patch" and not base else one.kind
+        base = self.known_versions[action.operator] if action.uses_own_version else max(self.known_versions)
+        kind = "put" if action.kind == "patch" and not base else action.kind
         if kind in ("get", "snapshot"):
-            return self.read(kind, one.who)
+            return self.read(kind, action.operator)
         if kind in ("put", "patch"):
-            return self.change(kind, base + 1 + one.pick % 2, base, one.who, one.pick)
-        self.evacuation(kind, f"z{one.pick % 2}")
+            return self.change(kind, base + 1 + action.variant % 2, base, action.operator, action.variant)
+        self.change_evacuation(kind, f"z{action.variant % 2}")
 
-    def read(self, kind: str, who: int = 0, only: str = "", patience: float = PATIENCE) -> None:
+    def read(
+        self, kind: str, operator: int = 0, required_target: str = "", timeout_s: float = OPERATION_TIMEOUT_S
+    ) -> None:
+        """Begin to read the configuration (`get`) or a snapshot."""
         path = {"get": "/api/configuration", "snapshot": "/api/snapshot"}[kind]
-        self._start({"order": 0, "kind": kind, "who": who}, "GET", path, b"", patience, only)
-
-    def change(self, kind: str, version: int, base: int, who: int = 0, pick: int = 0) -> None:
-        """A configuration, or a change of one; what it holds is its own."""
-        self.orders += 1
-        number = self.orders
-        names = {"put": ["r0", f"r{number}"], "patch": [f"r{pick % 4}"]}[kind]
-        gone = frozenset([f"r{pick // 4}"] if kind == "patch" and pick // 4 and pick // 4 != pick % 4 else [])
+        self._begin_operation(
+            {"order": 0, "kind": kind, "operator": operator}, "GET", path, b"", timeout_s, required_target
+        )
+
+    def change(self, kind: str, version: int, base: int, operator: int = 0, variant: int = 0) -> None:
+        """Begin to put or patch the configuration; each change has a path of its own, so that reads tell it apart."""
+        self.change_count += 1
+        number = self.change_count
+        names = {"put": ["r0", f"r{number}"], "patch": [f"r{variant % 4}"]}[kind]
+        removed = frozenset(
+            [f"r{variant // 4}"] if kind == "patch" and variant // 4 and variant // 4 != variant % 4 else []
+        )
         table = [
             {
                 "host": "h.example",
@@ -102,140 +110,149 @@
         if kind == "put":
             body |= {"listener_table": table, "clusters": [{"name": "svc"}]}
         else:
-            body |= {"upsert": {"listener_table": table}, "remove": {"routes": sorted(gone)}}
+            body |= {"upsert": {"listener_table": table}, "remove": {"routes": sorted(removed)}}
         op = {
             "order": number,
             "kind": kind,
             "version": version,
             "base": base,
-            "gone": gone,
-            "who": who,
+            "gone": removed,
+            "operator": operator,
             "routes": frozenset((n, f"/{number}/") for n in names),
         }
-        self._start(op, CHANGES[kind], "/api/configuration", json.dumps(body).encode())
+        self._begin_operation(op, CHANGE_METHODS[kind], "/api/configuration", json.dumps(body).encode())
 
-    def evacuation(self, kind: str, zone: str) -> None:
-        self.orders += 1
-        self._start(
-            {"order": self.orders, "kind": kind, "zone": zone, "who": 0},
-            CHANGES[kind],
+    def change_evacuation(self, kind: str, zone: str) -> None:
+        """Begin to evacuate or restore a zone."""
+        self.change_count += 1
+        self._begin_operation(
+            {"order": self.change_count, "kind": kind, "zone": zone, "operator": 0},
+            CHANGE_METHODS[kind],
             f"/api/evacuation/{zone}",
             b"",
         )
 
-    def _start(
-        self, op: dict, method: str, path: str, body: bytes, patience: float = PATIENCE, only: str = ""
+    def _begin_operation(
+        self,
+        op: dict,
+        method: str,
+        path: str,
+        body: bytes,
+        timeout_s: float = OPERATION_TIMEOUT_S,
+        required_target: str = "",
     ) -> None:
-        self.bodies[op["order"]] = body
-        flow = Flow({**op, "began": self.now}, method, path, body, self.now + patience, only=only)
-        self.flows.append(flow)
-        self._try(flow)
+        self.change_bodies[op["order"]] = body
+        operation = PendingOperation(
+            {**op, "began": self.now}, method, path, body, self.now + timeout_s, required_target=required_target
+        )
+        self.pending.append(operation)
+        self._attempt(operation)
 
-    def _try(self, flow: Flow, via: str = "") -> None:
-        if flow not in self.flows:
+    def _attempt(self, operation: PendingOperation, redirected_to: str = "") -> None:
+        if operation not in self.pending:
             return
-        there = [ip for ip in self.cores if ip not in self.removed and ip != flow.via] or list(self.cores)
-        flow.via = via or flow.only or self.dice.choice(there)
-        call, segment, _ = find("control_plane", flow.method, flow.path)
-        request = flow.request = Asking(call, segment, {}, flow.body, Caller())
-        self.kept.append(request)
-        at = flow.via
-        self._schedule(self._way(), lambda: self._arrive(flow, request, at))
-        self._schedule(SILENCE, lambda: self._failed(flow, request))
-
-    def _arrive(self, flow: Flow, request: Asking, via: str) -> None:
-        core = self.cores[via]
+        others = [ip for ip in self.cores if ip not in self.removed and ip != operation.target] or list(self.cores)
+        operation.target = redirected_to or operation.required_target or self.rng.choice(others)
+        call, segment, _ = find("control_plane", operation.method, operation.path)
+        request = operation.request = Asking(call, segment, {}, operation.body, Caller())
+        self.sent_requests.append(request)
+        target = operation.target
+        self._schedule(self._network_delay(), lambda: self._deliver_request(operation, request, target))
+        self._schedule(REPLY_TIMEOUT_S, lambda: self._attempt_failed(operation, request))
+
+    def _deliver_request(self, operation: PendingOperation, request: Asking, target: str) -> None:
+        core = self.cores[target]
         if not core.is_running:
-            return self._failed(flow, request)
-        if (waiting := self.asleep.get(via)) is not None:
-            return waiting.append(lambda: self._arrive(flow, request, via))
-        self.open[id(request)] = (flow, request, via)
+            return self._attempt_failed(operation, request)
+        if (deferred := self.frozen_queues.get(target)) is not None:
+            return deferred.append(lambda: self._deliver_request(operation, request, target))
+        self.open_requests[id(request)] = (operation, request, target)
         self._run_registry_actions(core, core.registry.on_call(request, self.now))
 
     def _record_reply(self, request: Asking, reply: Reply) -> None:
         super()._record_reply(request, reply)
-        flow, _, via = self.open.pop(id(request))
-        if request.gone or self.plan.lossy and not self.peace and self.dice.random() < 0.2:
-            pass  # the caller has gone on, or will
+        operation, _, target = self.open_requests.pop(id(request))
+        if request.gone or self.plan.loses_replies and not self.are_faults_over and self.rng.random() < 0.2:
+            pass  # the reply is lost: the caller has already retried elsewhere, or will
         else:
-            self._schedule(self._way(), lambda: self._got(flow, request, reply))
-        if reply.status == 200 and request.call.name in CHANGES:
-            self._acked(via)
-
-    def _failed(self, flow: Flow, request: Asking) -> None:
-        if flow.request is request:
-            self._again(flow)
-
-    def _again(self, flow: Flow) -> None:
-        if flow.request is not None:
-            flow.request._visit.lost = True
-        flow.request = None
-        pause = min(LONGEST, PAUSE * 2**flow.tries)
-        flow.tries += 1
-        if self.now + pause < flow.until:
-            return self._schedule(pause, lambda: self._try(flow))
-        self._end(flow, 0, None)
-
-    def _got(self, flow: Flow, request: Asking, reply: Reply) -> None:
-        if flow.request is not request:
+            self._schedule(self._network_delay(), lambda: self._handle_reply(operation, request, reply))
+        if reply.status == 200 and request.call.name in CHANGE_METHODS:
+            self._change_acknowledged(target)
+
+    def _attempt_failed(self, operation: PendingOperation, request: Asking) -> None:
+        if operation.request is request:
+            self._retry(operation)
+
+    def _retry(self, operation: PendingOperation) -> None:
+        if operation.request is not None:
+            operation.request._visit.lost = True
+        operation.request = None
+        backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**operation.attempts)
+        operation.attempts += 1
+        if self.now + backoff_s < operation.deadline:
+            return self._schedule(backoff_s, lambda: self._attempt(operation))
+        self._finish(operation, 0, None)
+
+    def _handle_reply(self, operation: PendingOperation, request: Asking, reply: Reply) -> None:
+        if operation.request is not request:
             return
-        if reply.status == 307 and flow.follows < 2:
-            flow.follows += 1
+        if reply.status == 307 and operation.redirects < 2:
+            operation.redirects += 1
             (location,) = [value for name, value in reply.headers if name == "Location"]
-            return self._try(flow, location.split("/")[2].partition(":")[0])
-        flow.follows = 0
+            return self._attempt(operation, location.split("/")[2].partition(":")[0])
+        operation.redirects = 0
         if reply.status >= 500 or reply.status in (307, 408, 429):
-            return self._again(flow)
-        self._end(flow, reply.status, reply)
-
-    def _end(self, flow: Flow, status: int, reply: Reply | None) -> None:
-        self.flows.remove(flow)
-        flow.request = None
-        op = dict(flow.op)
-        who = op.pop("who")
+            return self._retry(operation)
+        self._finish(operation, reply.status, reply)
+
+    def _finish(self, operation: PendingOperation, status: int, reply: Reply | None) -> None:
+        self.pending.remove(operation)
+        operation.request = None
+        op = dict(operation.op)
+        operator = op.pop("operator")
         if status == 0:
-            if op["kind"] in CHANGES:
+            if op["kind"] in CHANGE_METHODS:
                 self.history.append(Op(**op))
             return
         if op["kind"] in ("get", "snapshot"):
             if status == 404:
-                op["kind"] = "get"  # it tells no zones
-            op["seen"] = seen(reply)[: 4 if op["kind"] == "snapshot" else 3]
-            self.known[who] = max(self.known[who], op["seen"][0])
+                op["kind"] = "get"  # a 404 says nothing about the evacuated zones
+            op["seen"] = observed_state(reply)[: 4 if op["kind"] == "snapshot" else 3]
+            self.known_versions[operator] = max(self.known_versions[operator], op["seen"][0])
         elif status == 200 and "version" in op:
-            self.known[who] = max(self.known[who], op["version"])
+            self.known_versions[operator] = max(self.known_versions[operator], op["version"])
         elif status in (400, 412):
-            self.read("get", who)
-        flow.answered = Op(**op, ended=self.now, status=status)
-        self.history.append(flow.answered)
+            self.read("get", operator)
+        operation.result = Op(**op, ended=self.now, status=status)
+        self.history.append(operation.result)
 
-    def wait(self, start: Callable[[], None], limit: float, what: str) -> list[Op]:
-        """What the calls that this starts were answered; raises Broken where one had no clear answer in time."""
-        others = list(self.flows)
+    def wait_for_results(self, start: Callable[[], None], timeout_s: float, description: str) -> list[Op]:
+        """Results of the operations that `start` begins; raises CheckFailed if one has no definite reply in time."""
+        earlier = list(self.pending)
         start()
-        mine, end = [flow for flow in self.flows if flow not in others], self.now + limit
-        while self.now < end and not all(flow.answered for flow in mine):
+        begun, deadline = [operation for operation in self.pending if operation not in earlier], self.now + timeout_s
+        while self.now < deadline and not all(operation.result for operation in begun):
             self.run(self.now + STEP_S)
-        if any(flow.answered is None for flow in mine):
-            raise CheckFailed(f"{self.now:.2f}: {what}: no clear answer within {limit} s of calm")
-        return [flow.answered for flow in mine]
+        if any(operation.result is None for operation in begun):
+            raise CheckFailed(f"{self.now:.2f}: {description}: no definite reply within {timeout_s} s without faults")
+        return [operation.result for operation in begun]
 
-    def repeat(self, op: Op) -> None:
-        """An order that was taken, sent again as it was."""
-        again = {
+    def resend(self, op: Op) -> None:
+        """Send an accepted change again, unchanged."""
+        resent = {
             "order": op.order,
             "kind": op.kind,
             "version": op.version,
             "base": op.base,
             "routes": op.routes,
             "gone": op.gone,
-            "who": 0,
+            "operator": 0,
         }
-        self._start(again, CHANGES[op.kind], "/api/configuration", self.bodies[op.order])
+        self._begin_operation(resent, CHANGE_METHODS[op.kind], "/api/configuration", self.change_bodies[op.order])
 
 
-def seen(reply: Reply) -> tuple:
-    """What a read brought: version, base, routes and zones."""
+def observed_state(reply: Reply) -> tuple:
+    """The state in the reply to a read: version, base version, routes and evacuated zones."""
     if reply.status == 404:
         return 0, 0, frozenset(), frozenset()
     value = json.loads(reply.raw) if reply.raw is not None else reply.value
--- a/fennelpoint/testing/operator_plans.py
+++ b/fennelpoint/testing/operator_plans.py
@@ -1,4 +1,4 @@
-"""What is drawn for a day of operators at a core in trouble: errands, troubles, and the machines they meet."""
+"""Random plans for `operators`: the operators' actions, the faults, and the number of machines."""
 
 from __future__ import annotations
 
@@ -6,35 +6,42 @@
 
 
 @dataclass(frozen=True)
-class Errand:
-    """Something an operator does, tenths of a second after the start of traffic; `pick` draws numbers and zones."""
+class OperatorAction:
+    """An operator's action, at a time in tenths of a second after the start of traffic.
 
-    at: int
+    `variant` selects version numbers, routes and zones.
+    """
+
+    start_tenths: int
     kind: str  # put, patch, evacuate, restore, get or snapshot
-    who: int = 0
-    pick: int = 0
-    blind: bool = False  # goes by what this operator has seen itself, and not by what others know
+    operator: int = 0
+    variant: int = 0
+    uses_own_version: bool = False  # bases changes on the newest version this operator has seen, not that of all
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """Something that happens to machines, for so many tenths of a second; `whom` is a mask of machines.
-
-    cut: these from all others; deaf: they hear the others and are not heard; mute: the reverse; kill; wipe, add and
-    swap: one; acker: so many, counted from the one that next acknowledges a change, lose power right then, and with
-    an odd `span` the acker its disk; slow, full, freeze.
+class Fault:
+    """A fault of some machines (a bit mask), with start and duration in tenths of a second.
+
+    Kinds: `cut` partitions the machines from all others; with `deaf` their messages to the others are lost, with
+    `mute` those of the others to them; `kill` stops them. `wipe` empties the disk of one machine, `add` adds one,
+    `swap` replaces one. `acker` kills the machine that next acknowledges a change, at that moment, and those that the
+    mask selects counted from it; with an odd duration it also loses its disk. `slow` delays messages, `full` fills
+    the disk, `freeze` suspends the process.
     """
 
-    at: int
+    start_tenths: int
     kind: str
-    whom: int = 1
-    span: int = 10
+    machine_mask: int = 1
+    duration_tenths: int = 10
 
 
 @dataclass(frozen=True)
 class Plan:
+    """One run: core machines, random seed, actions and faults."""
+
     cores: int
     seed: int
-    errands: tuple[Errand, ...]
-    troubles: tuple[Trouble, ...]
-    lossy: bool = False  # answers are lost on their way, one in five
+    actions: tuple[OperatorAction, ...]
+    faults: tuple[Fault, ...]
+    loses_replies: bool = False  # one reply in five is lost
--- a/tests/system/test_linearizable.py
+++ b/tests/system/test_linearizable.py
@@ -19,9 +19,9 @@
 from fennelpoint.system.store import replica
 from fennelpoint.system.store.replica import REGISTRY, Replica
 from fennelpoint.testing.core_machines import CheckFailed
-from fennelpoint.testing.linearizable import Held, Op, fault, step
-from fennelpoint.testing.operator_plans import Errand, Plan, Trouble
-from fennelpoint.testing.operators import run_plan
+from fennelpoint.testing.linearizable import Op, RegisterState, apply_operation, find_violation
+from fennelpoint.testing.operator_plans import Fault, OperatorAction, Plan
+from fennelpoint.testing.operators import play
 
 RUNS, SEED, SHRINK = (os.environ.get("LARCHWING_HISTORIES", "") + "::").split(":")[:3]
 ERRANDS = ("put", "patch", "get", "snapshot", "evacuate", "restore")
@@ -30,13 +30,13 @@
 
 def plans(cores: tuple[int, int], errands: tuple[str, ...] = ERRANDS, troubles: tuple[str, ...] = TROUBLES):
     """Scenarios of up to six seconds of requests and faults; times in tenths of a second, so that they shrink."""
-    errand = st.builds(Errand, at=st.integers(0, 60), kind=st.sampled_from(errands), who=st.integers(0, 1),
-                       pick=st.integers(0, 15), blind=st.booleans())
-    trouble = st.builds(Trouble, at=st.integers(0, 60), kind=st.sampled_from(troubles), whom=st.integers(1, 31),
-                        span=st.integers(1, 30))
+    errand = st.builds(OperatorAction, start_tenths=st.integers(0, 60), kind=st.sampled_from(errands),
+                       operator=st.integers(0, 1), variant=st.integers(0, 15), uses_own_version=st.booleans())
+    trouble = st.builds(Fault, start_tenths=st.integers(0, 60), kind=st.sampled_from(troubles),
+                        machine_mask=st.integers(1, 31), duration_tenths=st.integers(1, 30))
     return st.builds(Plan, cores=st.integers(*cores), seed=st.integers(0, 999),
-                     errands=st.lists(errand, min_size=3, max_size=24).map(tuple),
-                     troubles=st.lists(trouble, max_size=6).map(tuple), lossy=st.booleans())
+                     actions=st.lists(errand, min_size=3, max_size=24).map(tuple),
+                     faults=st.lists(trouble, max_size=6).map(tuple), loses_replies=st.booleans())
 
 
 def random_runs(runs: int):
@@ -52,19 +52,19 @@
 @random_runs(34)
 @given(plans((3, 3)))
 def test_history_of_three_machines_is_linearizable(plan: Plan) -> None:
-    run_plan(plan)
+    play(plan)
 
 
 @random_runs(34)
 @given(plans((4, 5)))
 def test_history_of_five_machines_is_linearizable(plan: Plan) -> None:
-    run_plan(plan)
+    play(plan)
 
 
 @random_runs(34)
 @given(plans((6, 7)))
 def test_history_of_machines_with_standbys_is_linearizable(plan: Plan) -> None:
-    run_plan(plan)
+    play(plan)
 
 
 # Injected faults
@@ -74,7 +74,7 @@
     @settings(max_examples=100, phases=[Phase.generate], suppress_health_check=list(HealthCheck), database=None)
     @given(plans((3, 5), errands, troubles))
     def check(plan: Plan) -> None:
-        run_plan(plan)
+        play(plan)
 
     with pytest.raises(CheckFailed) as broken:
         check()
@@ -154,9 +154,9 @@
         for order in permutations(ops):
             if any(later.ended < earlier.began for i, earlier in enumerate(order) for later in order[i + 1:]):
                 continue
-            state: Held | None = Held()
+            state: RegisterState | None = RegisterState()
             for op in order:
-                if (state := step(state, op)) is None:
+                if (state := apply_operation(state, op)) is None:
                     break
             if state is not None:
                 return True
@@ -165,7 +165,7 @@
 
 def random_history(random: Random) -> list[Op]:
     """Up to five operations on one register, each around the time of its effect; some are then corrupted."""
-    state, history = Held(), []
+    state, history = RegisterState(), []
     for time in range(random.randint(2, 5)):
         kind = random.choice(("put", "put", "get", "snapshot", "evacuate", "restore"))
         op = Op(time, kind, time - random.choice((0, 0, 0.5, 1.5, 2.5)), time + random.choice((0.1, 0.6, 1.6, 2.6)),
@@ -174,11 +174,11 @@
             base = state.version if random.random() < 0.8 else 0
             op = replace(op, version=random.choice((base, base + 1, base + 2)), base=base,
                          routes=frozenset({("r", str(time))}))
-            op = replace(op, status=200 if step(state, op) else 412 if base != state.version else 400)
+            op = replace(op, status=200 if apply_operation(state, op) else 412 if base != state.version else 400)
         elif kind in ("get", "snapshot"):
             observed = (state.version, state.base, state.routes, state.zones)
             op = replace(op, seen=observed if kind == "snapshot" else observed[:3])
-        state = step(state, op)
+        state = apply_operation(state, op)
         corruption = random.random()
         if corruption < 0.15 and kind == "put":
             op = replace(op, status=random.choice((200, 400, 412)))
@@ -195,7 +195,7 @@
     for _ in range(3000):
         history = random_history(random)
         verdicts[is_linearizable(history)] += 1
-        assert (fault(history) == "") is is_linearizable(history), "\n".join(map(str, history))
+        assert (find_violation(history) == "") is is_linearizable(history), "\n".join(map(str, history))
     assert min(verdicts.values()) > 200, verdicts
 
 
@@ -205,5 +205,5 @@
     begun = Op(1, "evacuate", 0.0, 1.0, 200, zone="z")
     ended = Op(2, "restore", 1.1, 1.2, 200, zone="z")
     none_evacuated, still_evacuated = (0, 0, frozenset(), frozenset()), (0, 0, frozenset(), frozenset({"z"}))
-    assert fault([begun, ended, Op(0, "snapshot", 2.0, 2.1, 200, seen=none_evacuated)]) == ""
-    assert "no order fits" in fault([begun, ended, Op(0, "snapshot", 2.0, 2.1, 200, seen=still_evacuated)])
+    assert find_violation([begun, ended, Op(0, "snapshot", 2.0, 2.1, 200, seen=none_evacuated)]) == ""
+    assert "no order fits" in find_violation([begun, ended, Op(0, "snapshot", 2.0, 2.1, 200, seen=still_evacuated)])
--- a/tests/system/test_retry_budget.py
+++ b/tests/system/test_retry_budget.py
@@ -7,22 +7,22 @@
 from hypothesis import strategies as st
 
 from fennelpoint.system.proxy.retry_budget import BURST_FRACTION, RetryBudget
-from fennelpoint.testing.retry_histories import draw_step, play
+from fennelpoint.testing.retry_histories import random_step, run_history
 from fennelpoint.testing.retry_rule import RetryCounter
-from fennelpoint.testing.retry_simulation import RetryWorld
+from fennelpoint.testing.retry_simulation import RetrySimulation
 
-STEPS = st.lists(st.integers(0, 1 << 30).map(lambda seed: draw_step(Random(seed))), min_size=3, max_size=10)
+STEPS = st.lists(st.integers(0, 1 << 30).map(lambda seed: random_step(Random(seed))), min_size=3, max_size=10)
 
 
 def excess_of(requests: list[float], retries: list[float], slack: float = 5.0) -> float:
     """The worst excess of a service with these sending times; each retry is of a different request."""
     counter = RetryCounter(0.2, slack, 10.0)
     for at in requests:
-        counter.sent("s", at)
+        counter.record_request("s", at)
     for number, at in enumerate(retries):
-        counter.received("s", number, at - 0.01)
-        counter.received("s", number, at)
-    worst = counter.worst()
+        counter.record_arrival("s", number, at - 0.01)
+        counter.record_arrival("s", number, at)
+    worst = counter.worst_window()
     return worst.excess if worst is not None else 0.0
 
 
@@ -39,63 +39,63 @@
     assert excess_of(burst, [9.0] * 25) == pytest.approx(0.0)  # all 100
     assert excess_of(burst, [21.5] * 6) == pytest.approx(1.0)
     first = RetryCounter(0.2, 0.0, 10.0)
-    first.sent("s", 1.0)
-    first.received("s", "one", 1.0)
-    assert first.worst() is None  # the first arrival is not a retry
+    first.record_request("s", 1.0)
+    first.record_arrival("s", "one", 1.0)
+    assert first.worst_window() is None  # the first arrival is not a retry
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(proxies=st.integers(2, 9), slack=st.sampled_from([5.0, 20.0, 60.0]), seed=st.integers(0, 1 << 30), steps=STEPS)
 def test_any_history_keeps_to_the_rule(proxies, slack, seed, steps) -> None:
-    worst = play(proxies, slack, seed, steps).counter.worst()
+    worst = run_history(proxies, slack, seed, steps).counter.worst_window()
     assert worst is None or worst.excess <= 0.0, str(worst)
 
 
-def retries_of(world: RetryWorld, service: str = "a") -> int:
+def retries_of(world: RetrySimulation, service: str = "a") -> int:
     return len(world.counter.retries.get(service, []))
 
 
 @pytest.mark.parametrize("proxies, rate, quiet", [(9, 90.0, 60.0), (9, 30.0, 3600.0), (77, 90.0, 30.0)])
 def test_a_long_quiet_time_with_many_route_changes_saves_up_no_retry_storm(proxies, rate, quiet) -> None:
-    world = RetryWorld(proxies, slack=58.0)
+    world = RetrySimulation(proxies, slack=58.0)
     for change in range(100):
         world.move_route("ab"[change % 2])
         world.serve(0.3, rate)
     world.move_route("a")
-    world.rest(quiet)
+    world.idle(quiet)
     world.serve(10.0, rate)
     assert retries_of(world) == 0
     world.fail("a", 0.5)
     world.serve(10.0, rate)
-    worst = world.counter.worst()
+    worst = world.counter.worst_window()
     assert worst.excess <= 0.0, str(worst)
     assert retries_of(world) >= 0.1 * min(rate * 10.0, 3.0 * proxies)  # useful retries are still sent
 
 
 def test_credit_of_a_service_does_not_outlive_its_route() -> None:
-    world = RetryWorld(9, slack=10.0)
+    world = RetrySimulation(9, slack=10.0)
     world.serve(60.0, 60.0)
     world.move_route("b")
     world.serve(60.0, 60.0)
     world.move_route("a")
     world.fail("a", 1.0)
     world.serve(1.0, 60.0)
-    assert world.counter.worst().excess <= 0.0 < retries_of(world)
+    assert world.counter.worst_window().excess <= 0.0 < retries_of(world)
 
 
 def test_slack_is_spent_once_in_a_window() -> None:
-    world = RetryWorld(6, slack=60.0)
+    world = RetrySimulation(6, slack=60.0)
     world.serve(15.0, 4.0)
     world.fail("a", 1.0)
     world.serve(14.0, 12.0)
-    worst = world.counter.worst()
+    worst = world.counter.worst_window()
     assert worst.excess <= 0.0 < retries_of(world), str(worst)
 
 
 @pytest.mark.parametrize("rate", [16.0, 24.0])
 def test_slack_that_moves_between_proxies_is_spent_once(rate) -> None:
     """Four of six proxies spend their shares and pause; their shares move to the others, then the four resume."""
-    world = RetryWorld(6, slack=60.0)
+    world = RetrySimulation(6, slack=60.0)
     world.serve(30.0, 8.0)
     world.fail("a", 1.0)
     world.serve(1.5, rate)
@@ -106,12 +106,12 @@
     for ip in ips:
         world.thaw(ip)
     world.serve(3.0, rate)
-    worst = world.counter.worst()
+    worst = world.counter.worst_window()
     assert worst.excess <= 0.0 < retries_of(world), str(worst)
 
 
 def test_each_of_many_proxies_gets_a_share_of_the_slack() -> None:
-    world = RetryWorld(77, slack=194.0)
+    world = RetrySimulation(77, slack=194.0)
     world.serve(10.0, 1.0)
     shares = [proxy.session.grant.slack for proxy in world.proxies.values()]
     assert min(shares) >= 10 and sum(shares) <= 985
