--- a/fennelpoint/testing/model_checker.py
+++ b/fennelpoint/testing/model_checker.py
@@ -1,14 +1,14 @@
-"""A model checker of the register: every order in which messages can be lost, doubled and come late.
+"""Model checker of the register: explores every loss, duplication and delay of messages.
 
-The states are the real decider's own values (`fleet/register.py`).  The network is a set to which messages to
-keepers are added and from which none is taken: each may be delivered at any time, again, or never.  An answer is
-heard when it is given, or never: one that comes late is the same as a proposer whose next messages are late.
-Refusals only end rounds early, and are left out.  A proposer may stop at any point by never being heard again; a
-keeper may lose all it knew and rejoin.
+The states consist of the values of the real state machine (`fleet/register.py`). The network is a set to which
+messages to acceptors are added and from which none is removed: each may be delivered at any time, repeatedly, or
+never. A reply is delivered at once or never: a late one is equivalent to a proposer whose next messages are late.
+Refusals only end rounds early and are left out. A proposer may stop at any point, as its messages may never be
+delivered; an acceptor may lose all its state and rejoin.
 
-Where members change, a value names a content, too.  A keeper gets the content of what it is to accept, from whoever
-brings it or holds it, in the same step: with that as few hold it as may be.  A keeper that no agreed list names any
-more may be taken away for good, with all that it holds.
+With changes of membership, a value also refers to a content. An acceptor obtains the content of the value that it is
+to accept in the same step, from the proposer or from any acceptor that has it, so that as few acceptors as possible
+have it. An acceptor that no agreed membership names any more may be removed for good, with all that it stores.
 """
 
 from __future__ import annotations
@@ -37,18 +37,18 @@
 
 @dataclass(frozen=True)
 class Append:
-    """A change that puts one id behind those that are there, once."""
+    """A change that appends its id to the value, once."""
 
     id: str
 
-    def __call__(self, held: object) -> object:
-        held = held or ()
-        return held if self.id in held else (*held, self.id)
+    def __call__(self, contents: object) -> object:
+        contents = contents or ()
+        return contents if self.id in contents else (*contents, self.id)
 
 
 @dataclass(frozen=True)
-class Membered:
-    """A value that names its voters, those before them while they change, and the ids of its changes."""
+class MembershipValue:
+    """A value that names its voters, the previous voters during a change, and the ids of its changes."""
 
     members: frozenset[str]
     before: frozenset[str]
@@ -56,224 +56,240 @@
     content: str = ""
 
 
-def joint(value: Membered | None) -> Groups:
-    """Whose majorities a value needs."""
+def joint(value: MembershipValue | None) -> Groups:
+    """The groups of which a value needs a majority each: the voters and, during a change, the previous ones."""
     return tuple(g for g in (value.members, value.before) if g) if value is not None else ()
 
 
 @dataclass(frozen=True)
-class Become:
-    """A change that names other voters, or puts its id behind the others."""
+class MembershipChange:
+    """A change that names other voters, or only appends its id."""
 
     id: str
     members: frozenset[str] | None = None
     content: str = ""
 
-    def __call__(self, held: Membered) -> Membered:
-        if self.id in held.ids:
-            return held
-        members = self.members or held.members
-        return Membered(members, held.members if members != held.members else frozenset(), (*held.ids, self.id),
-                        self.content or held.content)
+    def __call__(self, contents: MembershipValue) -> MembershipValue:
+        if self.id in contents.ids:
+            return contents
+        members = self.members or contents.members
+        return MembershipValue(
+            members, contents.members if members != contents.members else frozenset(), (*contents.ids, self.id),
+            self.content or contents.content)
 
 
 def _ids(value: object) -> tuple[str, ...]:
-    return value.ids if isinstance(value, Membered) else value or ()
+    return value.ids if isinstance(value, MembershipValue) else value or ()
 
 
 @dataclass(frozen=True)
-class World:
-    keepers: tuple[Acceptor, ...]
-    rounds: tuple[Round, ...]           # one a ballot that a proposer may try
-    begun: frozenset[int]               # of these, whose prepares went out
-    net: frozenset                      # to which keeper, the message, and whose: a round, or who rejoins
-    done: frozenset                     # values that a proposer knows to be agreed
-    rejoins: tuple[Rejoin | None, ...]  # by keeper
-    losses: int                         # keepers that may still lose what they knew
-    held: frozenset[tuple[str, str]] = frozenset()  # contents on disk, by keeper
-    away: frozenset[str] = frozenset()  # keepers that were taken away for good
+class ModelState:
+    """State of all acceptors, proposers and the network."""
+
+    acceptors: tuple[Acceptor, ...]
+    rounds: tuple[Round, ...]           # one for each ballot that a proposer may attempt
+    started: frozenset[int]             # indexes of the rounds whose prepares were sent
+    messages: frozenset                 # (acceptor, message, sender: index of a round, or name of who rejoins)
+    agreed: frozenset                   # values that a proposer knows to be agreed
+    rejoins: tuple[Rejoin | None, ...]  # by index of the acceptor
+    losses_left: int                    # how many acceptors may still lose their state
+    contents: frozenset[tuple[str, str]] = frozenset()  # (acceptor, content) pairs on disk
+    removed: frozenset[str] = frozenset()               # acceptors that were removed for good
 
     def key(self) -> tuple:
+        """A hashable key, equal for equal states."""
         return (tuple((k.incarnation, k.can_vote, tuple(sorted(k.incarnations.items())), k.registers.get(KEY))
-                      for k in self.keepers),
-                tuple((frozenset(r.promises), r.accept, r.votes) for r in self.rounds), self.begun, self.net,
-                self.done, tuple(r and (r.incarnation, _names(r.discovery_replies), _names(r.state_replies or {}),
+                      for k in self.acceptors),
+                tuple((frozenset(r.promises), r.accept, r.votes) for r in self.rounds), self.started, self.messages,
+                self.agreed, tuple(r and (r.incarnation, _names(r.discovery_replies), _names(r.state_replies or {}),
                                               r.state_replies is None) for r in self.rejoins),
-                self.losses, self.held, self.away)
+                self.losses_left, self.contents, self.removed)
 
 
 def _names(known: dict) -> tuple:
     return tuple(sorted((name, k.incarnations, k.registers) for name, k in known.items()))
 
 
-def begin(keepers: int, tries: list[tuple[str, int]], losses: int) -> World:
-    """`tries` are (proposer, round): each changes the register by its own name, in that ballot."""
-    names = [f"k{i}" for i in range(keepers)]
-    made = tuple(Acceptor(name, 1, True, {}, {}) for name in names)
-    rounds = tuple(Round(KEY, (number, who), Append(who), keepers) for who, number in tries)
-    return World(made, rounds, frozenset(), frozenset(), frozenset(), (None,) * keepers, losses)
+def initial_state(acceptor_count: int, attempts: list[tuple[str, int]], losses: int) -> ModelState:
+    """`attempts` are (proposer, round): each appends its name to the register, in that ballot."""
+    names = [f"k{i}" for i in range(acceptor_count)]
+    acceptors = tuple(Acceptor(name, 1, True, {}, {}) for name in names)
+    rounds = tuple(Round(KEY, (number, proposer), Append(proposer), acceptor_count) for proposer, number in attempts)
+    return ModelState(acceptors, rounds, frozenset(), frozenset(), frozenset(), (None,) * acceptor_count, losses)
 
 
-def begin_members(keepers: int, founders: int, tries: list[tuple[str, int, int]],
-                  groups_of: Callable[[Membered | None], Groups] = joint, losses: int = 0,
-                  content: str = "") -> World:
-    """`tries` are (proposer, round, voters to be): the last so many keepers are the voters then; 0: as they are.
+def initial_membership_state(acceptor_count: int, founder_count: int, attempts: list[tuple[str, int, int]],
+                             groups_of: Callable[[MembershipValue | None], Groups] = joint, losses: int = 0,
+                             content: str = "") -> ModelState:
+    """`attempts` are (proposer, round, n): makes the last n acceptors the voters; 0 leaves the voters as they are.
 
-    Every proposer goes by the founders, and so by an older list once there is a newer one.  With a content, the
-    founders hold it, and each proposer that leaves the voters as they are brings one of its own.
+    Every proposer uses the list of founders, which is outdated once there is a newer one. With a content, the
+    founders have it, and each proposer that leaves the voters as they are provides a content of its own.
+    """
+    names = [f"k{i}" for i in range(acceptor_count)]
+    founders = frozenset(names[:founder_count])
+    register = RegisterState((0, "founded"), (0, "founded"), MembershipValue(founders, frozenset(), (), content))
+    acceptors = tuple(Acceptor(n, 1, True, {}, {KEY: register} if n in founders else {}) for n in names)
+    rounds = tuple(
+        Round(KEY, (number, proposer),
+              MembershipChange(proposer, frozenset(names[-voters:]) if voters else None,
+                               proposer if content and not voters else ""),
+              acceptor_count, groups=(founders,), groups_of=groups_of) for proposer, number, voters in attempts)
+    contents = frozenset((name, content) for name in founders if content)
+    return ModelState(acceptors, rounds, frozenset(), frozenset(), frozenset(), (None,) * acceptor_count, losses,
+                      contents)
+
+
+def obtain_content(state: ModelState, name: str, value: object, is_provided: bool) -> ModelState | None:
+    """The state in which an acceptor has a value's content, from the proposer or another one; None if none has it.
+
+    `is_provided`: the proposer provides the content.
     """
-    names = [f"k{i}" for i in range(keepers)]
-    first = frozenset(names[:founders])
-    cell = RegisterState((0, "founded"), (0, "founded"), Membered(first, frozenset(), (), content))
-    made = tuple(Acceptor(n, 1, True, {}, {KEY: cell} if n in first else {}) for n in names)
-    rounds = tuple(Round(KEY, (number, who), Become(who, frozenset(names[-voters:]) if voters else None,
-                                                    who if content and not voters else ""), keepers,
-                         groups=(first,), groups_of=groups_of) for who, number, voters in tries)
-    held = frozenset((name, content) for name in first if content)
-    return World(made, rounds, frozenset(), frozenset(), frozenset(), (None,) * keepers, losses, held)
-
-
-def obtains(world: World, name: str, value: object, brought: bool) -> World | None:
-    """The world in which a keeper has a value's content, `brought` to it or held by another; none: nobody has it."""
     content = getattr(value, "content", "")
-    if not content or (name, content) in world.held:
-        return world
-    if brought or any(c == content for _, c in world.held):
-        return replace(world, held=world.held | {(name, content)})
+    if not content or (name, content) in state.contents:
+        return state
+    if is_provided or any(c == content for _, c in state.contents):
+        return replace(state, contents=state.contents | {(name, content)})
     return None
 
 
-Obtain = Callable[[World, str, object, bool], World | None]
+ObtainContent = Callable[[ModelState, str, object, bool], ModelState | None]
 
 
-def _repaired(world: World) -> bool:
-    """Whether all that are there vote: a loss that comes sooner is one of two at once."""
-    return all(keeper.can_vote or keeper.name in world.away for keeper in world.keepers)
+def _is_repaired(state: ModelState) -> bool:
+    """Whether all acceptors that were not removed vote; an earlier loss would be a second one at the same time."""
+    return all(acceptor.can_vote or acceptor.name in state.removed for acceptor in state.acceptors)
 
 
-def steps(world: World, answer: Callable = handle, obtain: Obtain = obtains) -> list[World]:
-    """Every world that can follow."""
-    out = []
-    index = {keeper.name: i for i, keeper in enumerate(world.keepers)}
-    for i, one in enumerate(world.rounds):
-        if i not in world.begun:
-            net = world.net | {(k.name, one.prepare, i) for k in world.keepers}
-            out.append(replace(world, begun=world.begun | {i}, net=net))
-    for to, message, whose in world.net:
-        if to in world.away:
+def successors(state: ModelState, handle_message: Callable = handle,
+               obtain: ObtainContent = obtain_content) -> list[ModelState]:
+    """All states that can follow."""
+    result = []
+    index = {acceptor.name: i for i, acceptor in enumerate(state.acceptors)}
+    for i, current in enumerate(state.rounds):
+        if i not in state.started:
+            messages = state.messages | {(k.name, current.prepare, i) for k in state.acceptors}
+            result.append(replace(state, started=state.started | {i}, messages=messages))
+    for to, message, sender in state.messages:
+        if to in state.removed:
             continue
-        i, there = index[to], world
+        i, obtained = index[to], state
         if isinstance(message, Accept):
-            brings = getattr(world.rounds[whose].change, "content", "")
-            there = obtain(world, to, message.value, brings == getattr(message.value, "content", ""))
-            if there is None:
+            brings = getattr(state.rounds[sender].change, "content", "")
+            obtained = obtain(state, to, message.value, brings == getattr(message.value, "content", ""))
+            if obtained is None:
                 continue
-        keeper, told = answer(world.keepers[i], message)
-        made = world if keeper == world.keepers[i] else replace(
-            there, keepers=_put(world.keepers, i, keeper))
-        if made is not world:
-            out.append(made)    # its answer is lost
-        if (after := _hear(made, told, whose, index, obtain)) is not made:
-            out.append(after)
-    whole = _repaired(world)
-    if whole and (lists := [v for v in world.done if isinstance(v, Membered)]):
+        acceptor, reply = handle_message(state.acceptors[i], message)
+        next_state = state if acceptor == state.acceptors[i] else replace(
+            obtained, acceptors=_put(state.acceptors, i, acceptor))
+        if next_state is not state:
+            result.append(next_state)    # the reply is lost
+        if (after := _deliver_reply(next_state, reply, sender, index, obtain)) is not next_state:
+            result.append(after)
+    is_repaired = _is_repaired(state)
+    if is_repaired and (lists := [v for v in state.agreed if isinstance(v, MembershipValue)]):
         newest = max(lists, key=lambda value: len(value.ids))
-        for keeper in world.keepers:    # it was replaced, and never comes back
-            if keeper.name not in newest.members | world.away and keeper.registers:
-                out.append(replace(world, away=world.away | {keeper.name}, held=_without(world.held, keeper.name)))
-    if world.losses and whole:
-        groups_of = world.rounds[0].groups_of
-        for i, keeper in enumerate(world.keepers):
-            if keeper.name not in world.away and (groups_of is None or keeper.registers):
-                state = Rejoin(keeper.name, len(world.keepers), {}, groups_of=groups_of)
-                # What it had sent before is still under way; its answers to others, too.
-                net = world.net | {(k.name, state.request, keeper.name) for k in world.keepers
-                                   if k.name != keeper.name}
-                out.append(replace(
-                    world, keepers=_put(world.keepers, i, Acceptor(keeper.name, 0, False, {}, {})),
-                    rejoins=_put(world.rejoins, i, state), losses=world.losses - 1, net=net,
-                    held=_without(world.held, keeper.name)))
-    return out
-
-
-def _without(held: frozenset[tuple[str, str]], name: str) -> frozenset[tuple[str, str]]:
-    return frozenset(one for one in held if one[0] != name)
-
-
-def _hear(world: World, told: Answer, whose: int | str, index: dict[str, int], obtain: Obtain) -> World:
-    """The world once an answer was heard; the same where it changes nothing, as a refusal does."""
-    if isinstance(told, RejoinReply):
-        i = index[whose]
-        if (state := world.rejoins[i]) is None or (new := state.with_reply(told)) == state:
-            return world
-        made = replace(world, rejoins=_put(world.rejoins, i, new))
-        if new.request != state.request:
-            made = replace(made, net=made.net | {
-                (k.name, new.request, whose) for k in made.keepers if k.name != whose})
-        if (keeper := new.acceptor) is not None:
-            value = keeper.registers[KEY].value if keeper.registers else None
-            if (there := obtain(made, whose, value, False)) is None:
-                return world    # it waits for the content
-            made = replace(there, keepers=_put(made.keepers, i, keeper), rejoins=_put(made.rejoins, i, None))
-        return made
-    one = world.rounds[whose]
-    if not told.ok or (new := one.with_answer(told)) == one:
-        return world
-    made = replace(world, rounds=_put(world.rounds, whose, new))
-    if new.accept is not None and one.accept is None:
-        made = replace(made, net=made.net | {(name, new.accept, whose) for name in new.promised_by})
-    return replace(made, done=made.done | {new.accept.value}) if new.is_agreed else made
-
-
-def _put(items: tuple, i: int, one: object) -> tuple:
-    return (*items[:i], one, *items[i + 1:])
-
-
-def fault(world: World) -> str:
-    """What is wrong in a world; empty where nothing is.
-
-    Values that were agreed are one chain: each has in it all that was agreed before.  And what a majority of
-    those that vote holds alike, which a read takes for the newest, has in it all that is known to be agreed.
+        for acceptor in state.acceptors:    # it was replaced, and never returns
+            if acceptor.name not in newest.members | state.removed and acceptor.registers:
+                result.append(replace(state, removed=state.removed | {acceptor.name},
+                                      contents=_without(state.contents, acceptor.name)))
+    if state.losses_left and is_repaired:
+        groups_of = state.rounds[0].groups_of
+        for i, acceptor in enumerate(state.acceptors):
+            if acceptor.name not in state.removed and (groups_of is None or acceptor.registers):
+                rejoin = Rejoin(acceptor.name, len(state.acceptors), {}, groups_of=groups_of)
+                # Messages that it sent before, and its replies to others, are still in transit.
+                messages = state.messages | {(k.name, rejoin.request, acceptor.name) for k in state.acceptors
+                                   if k.name != acceptor.name}
+                result.append(replace(
+                    state, acceptors=_put(state.acceptors, i, Acceptor(acceptor.name, 0, False, {}, {})),
+                    rejoins=_put(state.rejoins, i, rejoin), losses_left=state.losses_left - 1, messages=messages,
+                    contents=_without(state.contents, acceptor.name)))
+    return result
+
+
+def _without(contents: frozenset[tuple[str, str]], name: str) -> frozenset[tuple[str, str]]:
+    return frozenset(pair for pair in contents if pair[0] != name)
+
+
+def _deliver_reply(state: ModelState, reply: Answer, sender: int | str, index: dict[str, int],
+                   obtain: ObtainContent) -> ModelState:
+    """The state after a reply is delivered; the same object if it changes nothing, as with a refusal."""
+    if isinstance(reply, RejoinReply):
+        i = index[sender]
+        if (rejoin := state.rejoins[i]) is None or (new := rejoin.with_reply(reply)) == rejoin:
+            return state
+        next_state = replace(state, rejoins=_put(state.rejoins, i, new))
+        if new.request != rejoin.request:
+            next_state = replace(next_state, messages=next_state.messages | {
+                (k.name, new.request, sender) for k in next_state.acceptors if k.name != sender})
+        if (acceptor := new.acceptor) is not None:
+            value = acceptor.registers[KEY].value if acceptor.registers else None
+            if (obtained := obtain(next_state, sender, value, False)) is None:
+                return state    # the acceptor waits for the content
+            next_state = replace(obtained, acceptors=_put(next_state.acceptors, i, acceptor),
+                                 rejoins=_put(next_state.rejoins, i, None))
+        return next_state
+    current = state.rounds[sender]
+    if not reply.ok or (new := current.with_answer(reply)) == current:
+        return state
+    next_state = replace(state, rounds=_put(state.rounds, sender, new))
+    if new.accept is not None and current.accept is None:
+        next_state = replace(next_state, messages=next_state.messages | {
+            (name, new.accept, sender) for name in new.promised_by})
+    return replace(next_state, agreed=next_state.agreed | {new.accept.value}) if new.is_agreed else next_state
+
+
+def _put(items: tuple, i: int, current: object) -> tuple:
+    return (*items[:i], current, *items[i + 1:])
+
+
+def find_violation(state: ModelState) -> str:
+    """The safety violation in a state; empty if there is none.
+
+    Agreed values form a chain: each contains everything agreed before. And a value that a majority of the voters
+    store, which a read takes for the newest, contains everything that is known to be agreed.
     """
-    chain = sorted({_ids(value) for value in world.done}, key=len)
+    chain = sorted({_ids(value) for value in state.agreed}, key=len)
     for shorter, longer in zip(chain, chain[1:], strict=False):
         if longer[:len(shorter)] != shorter:
             return f"{shorter} and {longer} were both agreed"
-    if world.rounds and (groups_of := world.rounds[0].groups_of) is not None:
-        newest = max(world.done, key=lambda value: len(value.ids), default=None)
-        if newest is not None and newest.content and all(c != newest.content for _, c in world.held):
+    if state.rounds and (groups_of := state.rounds[0].groups_of) is not None:
+        newest = max(state.agreed, key=lambda value: len(value.ids), default=None)
+        if newest is not None and newest.content and all(c != newest.content for _, c in state.contents):
             return f"nobody holds the content of {newest}"
-        for cell in {k.registers[KEY] for k in world.keepers
+        for register in {k.registers[KEY] for k in state.acceptors
                      if k.registers.get(KEY, RegisterState()).value is not None}:
-            alike = frozenset(k.name for k in world.keepers if k.name not in world.away
-                              and k.registers.get(KEY, RegisterState()).accepted == cell.accepted)
-            if chain and is_quorum(alike, groups_of(cell.value)) and _ids(cell.value)[:len(chain[-1])] != chain[-1]:
-                return f"a read finds {cell.value}, and {chain[-1]} was agreed"
+            matching = frozenset(k.name for k in state.acceptors if k.name not in state.removed
+                              and k.registers.get(KEY, RegisterState()).accepted == register.accepted)
+            if chain and is_quorum(matching, groups_of(register.value)) and (
+                    _ids(register.value)[:len(chain[-1])] != chain[-1]):
+                return f"a read finds {register.value}, and {chain[-1]} was agreed"
         return ""
-    voting = [k.registers.get(KEY, RegisterState()) for k in world.keepers if k.can_vote]
-    for group in combinations(voting, majority(len(world.keepers))):
-        if len({cell.accepted for cell in group}) == 1 and chain:
+    voting = [k.registers.get(KEY, RegisterState()) for k in state.acceptors if k.can_vote]
+    for group in combinations(voting, majority(len(state.acceptors))):
+        if len({register.accepted for register in group}) == 1 and chain:
             value = group[0].value or ()
             if value[:len(chain[-1])] != chain[-1]:
                 return f"a read finds {value}, and {chain[-1]} was agreed"
     return ""
 
 
-def explore(world: World, most: int, answer: Callable = handle, obtain: Obtain = obtains,
-            deep: bool = False) -> tuple[int, str, bool]:
-    """How many worlds there are, the first fault, and whether all were seen.
+def explore(state: ModelState, max_states: int, handle_message: Callable = handle,
+            obtain: ObtainContent = obtain_content, depth_first: bool = False) -> tuple[int, str, bool]:
+    """The number of states visited, the first violation found, and whether all states were visited.
 
-    `deep` goes on from the newest world: a fault of many steps is found sooner, and by more of them.
+    `depth_first` continues from the newest state, which finds violations of many steps sooner.
     """
-    seen, queue = {world.key()}, deque([world])
+    visited, queue = {state.key()}, deque([state])
     while queue:
-        one = queue.pop() if deep else queue.popleft()
-        if why := fault(one):
-            return len(seen), why, False
-        for new in steps(one, answer, obtain):
-            if (key := new.key()) not in seen:
-                if len(seen) >= most:
-                    return len(seen), "", False
-                seen.add(key)
+        current = queue.pop() if depth_first else queue.popleft()
+        if why := find_violation(current):
+            return len(visited), why, False
+        for new in successors(current, handle_message, obtain):
+            if (key := new.key()) not in visited:
+                if len(visited) >= max_states:
+                    return len(visited), "", False
+                visited.add(key)
                 queue.append(new)
-    return len(seen), "", True
+    return len(visited), "", True
--- a/fennelpoint/testing/register_linearizability.py
+++ b/fennelpoint/testing/register_linearizability.py
@@ -1,7 +1,7 @@
-"""Whether a history of reads and changes of one register could be that of a register.
+"""Linearizability checker for histories of reads and changes of one register whose revisions are known.
 
-Each change that is made has a revision of its own, so the one order that is possible is known: that of the
-revisions.  What is left to check is real time, and that each revision stands for one value.
+Each change has its own revision, so the only possible order is that of the revisions. What remains to check is that
+it agrees with real time, and that each revision has a single value.
 """
 
 from __future__ import annotations
@@ -11,34 +11,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Op:
-    """A read that found a revision and its value, or a change that made one."""
+    """A read that returned a revision and its value, or a change that created one."""
 
     began: float
     ended: float
-    who: str
+    client: str
     revision: int
     value: object
-    made: bool      # by this change
+    made: bool      # this operation is the change that created the revision
 
 
-def faults(ops: list[Op]) -> list[str]:
-    """What no register would do."""
-    out, values = [], {}
+def find_violations(ops: list[Op]) -> list[str]:
+    """Descriptions of all violations of linearizability; empty if there are none."""
+    violations, values = [], {}
     for op in ops:
         if values.setdefault(op.revision, op.value) != op.value and op.revision:
-            out.append(f"revision {op.revision} is {values[op.revision]!r} and {op.value!r}")
-    makers: dict[int, Op] = {}
+            violations.append(f"revision {op.revision} is {values[op.revision]!r} and {op.value!r}")
+    creators: dict[int, Op] = {}
     for op in ops:
-        if op.made and (other := makers.setdefault(op.revision, op)) is not op:
-            out.append(f"revision {op.revision} was made by {other.who} and by {op.who}")
-    ended = sorted(ops, key=lambda op: op.ended)
-    newest, at = None, 0
+        if op.made and (other := creators.setdefault(op.revision, op)) is not op:
+            violations.append(f"revision {op.revision} was made by {other.client} and by {op.client}")
+    by_end = sorted(ops, key=lambda op: op.ended)
+    newest, index = None, 0
     for op in sorted(ops, key=lambda op: op.began):
-        while at < len(ended) and ended[at].ended < op.began:
-            if newest is None or ended[at].revision > newest.revision:
-                newest = ended[at]
-            at += 1
+        while index < len(by_end) and by_end[index].ended < op.began:
+            if newest is None or by_end[index].revision > newest.revision:
+                newest = by_end[index]
+            index += 1
         if newest is not None and op.revision < newest.revision + (1 if op.made else 0):
-            out.append(f"{op.who} {'made' if op.made else 'read'} {op.revision} at {op.began:.3f}, after "
-                       f"{newest.who} had {newest.revision} at {newest.ended:.3f}")
-    return out
+            violations.append(f"{op.client} {'made' if op.made else 'read'} {op.revision} at {op.began:.3f}, after "
+                              f"{newest.client} had {newest.revision} at {newest.ended:.3f}")
+    return violations
--- a/tests/fleet/test_register.py
+++ b/tests/fleet/test_register.py
@@ -23,14 +23,14 @@
     handle,
     majority_value,
 )
-from fennelpoint.testing.model_checker import begin, begin_members, explore, joint
+from fennelpoint.testing.model_checker import explore, initial_membership_state, initial_state, joint
 
 
 @pytest.mark.parametrize("attempts, losses, states", [
     ([("a", 1)], 0, 75), ([("a", 1)], 1, 6174), ([("a", 1), ("b", 2)], 0, 3074)])
 def test_every_interleaving_keeps_one_order_of_changes(attempts, losses, states):
     """Lost, duplicate and late messages, proposers that stop, an acceptor that loses its file at any point."""
-    assert explore(begin(3, attempts, losses), 10_000) == (states, "", True)
+    assert explore(initial_state(3, attempts, losses), 10_000) == (states, "", True)
 
 
 def only_new_voters(value):
@@ -44,12 +44,12 @@
 @pytest.mark.parametrize("acceptors, founders, attempts", MEMBERS)
 def test_every_interleaving_of_a_change_of_voters_keeps_one_order(acceptors, founders, attempts):
     """One proposer changes some or all of the voters; another uses the older list."""
-    count, why, is_complete = explore(begin_members(acceptors, founders, attempts), 60_000)
+    count, why, is_complete = explore(initial_membership_state(acceptors, founders, attempts), 60_000)
     assert (why, is_complete) == ("", True) and count > 100
 
 
 def test_change_of_voters_without_the_previous_voters_is_found():
-    found = [explore(begin_members(*case, only_new_voters), 60_000)[1] for case in MEMBERS]
+    found = [explore(initial_membership_state(*case, only_new_voters), 60_000)[1] for case in MEMBERS]
     assert any("both agreed" in why or "a read finds" in why for why in found)
 
 
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("acceptors, founders, attempts, losses, states", CONTENTS)
 def test_every_interleaving_of_members_and_contents_keeps_both(acceptors, founders, attempts, losses, states):
     """A voter is replaced while another proposer brings a content; three become five.  Run larger cases by hand."""
-    assert explore(begin_members(acceptors, founders, attempts, losses=losses, content="0"), 60_000) == (
+    assert explore(initial_membership_state(acceptors, founders, attempts, losses=losses, content="0"), 60_000) == (
         states, "", True)
 
 
@@ -70,16 +70,16 @@
 
 def test_voter_without_the_content_is_found():
     """One of three voters is replaced and removed, then one loses its disk: a majority had the content before."""
-    initial = begin_members(4, 3, [("a", 1, 3)], losses=1, content="0")
-    partly_held = replace(initial, held=initial.held - {("k2", "0")})
+    initial = initial_membership_state(4, 3, [("a", 1, 3)], losses=1, content="0")
+    partly_held = replace(initial, contents=initial.contents - {("k2", "0")})
     count, why, _ = explore(partly_held, 20_000, obtain=votes_without_content)
     assert "nobody holds the content" in why and count < 20_000
 
 
 def test_member_removed_by_the_new_majority_alone_is_found():
     """One of three voters is replaced without asking the previous three."""
-    initial = begin_members(4, 3, [("a", 1, 3), ("b", 2, 0)], only_new_voters, content="0")
-    assert "a read finds" in explore(initial, 60_000, deep=True)[1]
+    initial = initial_membership_state(4, 3, [("a", 1, 3), ("b", 2, 0)], only_new_voters, content="0")
+    assert "a read finds" in explore(initial, 60_000, depth_first=True)[1]
 
 
 def accepts_lower(acceptor, message):
@@ -119,7 +119,7 @@
     (accepts_lower, [("a", 1), ("b", 2)], 0), (promises_lower, [("a", 2), ("b", 1)], 0),
     (trusts_old_incarnations, [("a", 1)], 1)])
 def test_checker_finds_injected_faults(faulty_handle, attempts, losses):
-    count, why, _ = explore(begin(3, attempts, losses), 200_000, faulty_handle)
+    count, why, _ = explore(initial_state(3, attempts, losses), 200_000, faulty_handle)
     assert "agreed" in why, count
 
 
--- a/tests/fleet/test_registers.py
+++ b/tests/fleet/test_registers.py
@@ -16,7 +16,7 @@
 from fennelpoint.testing.ingress_harness import run
 from fennelpoint.testing.process import free_port
 from fennelpoint.testing.process_cluster import Rig, Shape
-from fennelpoint.testing.register_linearizability import Op, faults
+from fennelpoint.testing.register_linearizability import Op, find_violations
 
 MOST_HISTORIES = 4          # on a busy machine one history holds too few calls to show anything
 LEAST_MADE, LEAST_CALLS = 30, 200
@@ -184,7 +184,7 @@
     for _ in range(MOST_HISTORIES):
         ops: list[Op] = []
         run(_collect(ops, ""), 60.0)
-        assert faults(ops) == []
+        assert find_violations(ops) == []
         made, calls = made + sum(op.made for op in ops), calls + len(ops)
         if made > LEAST_MADE and calls > LEAST_CALLS:
             break
@@ -194,7 +194,7 @@
 def test_a_planted_stale_read_is_found():
     ops: list[Op] = []
     run(_collect(ops, "stale"), 60.0)
-    assert any(" read " in fault for fault in faults(ops))
+    assert any(" read " in fault for fault in find_violations(ops))
 
 
 async def _collect(ops: list[Op], broken: str) -> None:
@@ -203,8 +203,8 @@
 
 def test_what_no_register_would_do_is_found():
     good = [Op(0.0, 1.0, "a", 1, "x", True), Op(2.0, 3.0, "b", 1, "x", False), Op(2.5, 4.0, "a", 2, "y", True)]
-    assert faults(good) == []
-    assert faults([*good, Op(5.0, 6.0, "c", 1, "x", False)])
-    assert faults([*good, Op(0.5, 6.0, "c", 2, "z", False)])
-    assert faults([*good, Op(0.0, 6.0, "c", 2, "y", True)])
-    assert faults([*good, Op(5.0, 6.0, "c", 2, "y", True)])
+    assert find_violations(good) == []
+    assert find_violations([*good, Op(5.0, 6.0, "c", 1, "x", False)])
+    assert find_violations([*good, Op(0.5, 6.0, "c", 2, "z", False)])
+    assert find_violations([*good, Op(0.0, 6.0, "c", 2, "y", True)])
+    assert find_violations([*good, Op(5.0, 6.0, "c", 2, "y", True)])
