--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -25,13 +25,13 @@
 
 from docopt import docopt
 
-from fennelpoint.testing.soak.runner import Result, play
+from fennelpoint.testing.soak.runner import Result, run_soak
 
 
 def one(seed: int, groups: int, quiet: bool, keep: Path | None) -> Result | str:
     """A soak's result, or why it has none."""
     try:
-        return asyncio.run(play(seed, groups, (lambda line: None) if quiet else print, keep))
+        return asyncio.run(run_soak(seed, groups, (lambda line: None) if quiet else print, keep))
     except (RuntimeError, TimeoutError) as error:
         return f"seed {seed}: {error!r}"
 
@@ -42,14 +42,15 @@
         print(result)
         return False
     print(
-        f"seed {result.seed}: {result.served} of {result.requests} served, {result.departures} departures and "
+        f"seed {result.seed}: {result.served} of {result.requests} served, {result.cancellations} departures and "
         f"{result.lookups} look-ups judged, {result.version_answers} answers by {result.versions} versions, "
-        f"ended within {result.longest_end:.2f} s, late by {result.lag:.2f} s, {len(result.wrong)} wrong",
+        f"ended within {result.longest_shutdown_s:.2f} s, late by {result.lag_s:.2f} s, "
+        f"{len(result.violations)} wrong",
         flush=True,
     )
-    for wrong in result.wrong:
+    for wrong in result.violations:
         print(f"  {wrong}")
-    return not result.wrong
+    return not result.violations
 
 
 def main() -> int:
--- a/fennelpoint/testing/soak/plan.py
+++ b/fennelpoint/testing/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which troubles a soak plays, drawn from a seed: two or three at once, with a pause between groups."""
+"""Random fault schedule of a soak test: groups of two or three overlapping faults, with a pause between groups."""
 
 from __future__ import annotations
 
@@ -6,59 +6,61 @@
 from enum import Enum
 from random import Random
 
-CALM = 3.0  # s before the first group and between two
-GROUP = 5.0  # s in which the troubles of a group begin and end, but for what restarts
-LEAST, MOST = 0.6, 3.5  # s that a trouble lasts
+PAUSE_S = 3.0  # before the first group and between groups
+GROUP_S = 5.0  # within which the faults of a group begin and end, apart from restarts
+MIN_FAULT_S, MAX_FAULT_S = 0.6, 3.5  # duration of a fault
 
 
-class Trouble(Enum):
-    """What is done, to machines or to all clients and backends."""
+class FaultKind(Enum):
+    """Faults of machines, or of all clients and backends; results list them by name."""
 
-    KILL_FRONT = "a front is killed, and starts again"
-    PAUSE_FRONT = "a front stands still"
-    CUT_FRONT = "a front and all other machines do not hear each other, for longer than its lease"
-    ROLL_FRONTS = "the fronts of a region are restarted in order, one soon after the other"
-    KILL_CORE = "a core machine is killed, and starts again"
-    PAUSE_CORE = "a core machine stands still"
-    CUT_CORE = "a core machine and the others do not hear each other"
-    MUTE_CORE = "a core machine does not hear the others, and they hear it"
-    LOST_ANSWERS = "backends close connections in place of an answer"
-    SLOW_BACKENDS = "backends work several times as long"
-    LEAVING_CLIENTS = "most clients leave before their answer"
-    CHANGES = "the configuration is changed again and again"
+    KILL_FRONT = "a proxy is killed and restarted"
+    PAUSE_FRONT = "a proxy is suspended"
+    CUT_FRONT = "a proxy is partitioned from all other machines, for longer than its lease"
+    ROLL_FRONTS = "rolling restart of the proxies of a region"
+    KILL_CORE = "a core machine is killed and restarted"
+    PAUSE_CORE = "a core machine is suspended"
+    CUT_CORE = "a core machine is partitioned from the others"
+    MUTE_CORE = "a core machine receives nothing from the others, and they receive its messages"
+    LOST_ANSWERS = "backends close connections instead of replying"
+    SLOW_BACKENDS = "backends take several times as long"
+    LEAVING_CLIENTS = "most clients disconnect before the reply"
+    CHANGES = "the configuration is changed in quick succession"
 
 
-ON_FRONTS = (Trouble.KILL_FRONT, Trouble.PAUSE_FRONT, Trouble.CUT_FRONT, Trouble.ROLL_FRONTS)
-ON_CORE = (Trouble.KILL_CORE, Trouble.PAUSE_CORE, Trouble.CUT_CORE, Trouble.MUTE_CORE)
-ON_TRAFFIC = (Trouble.LOST_ANSWERS, Trouble.SLOW_BACKENDS, Trouble.LEAVING_CLIENTS, Trouble.CHANGES)
+PROXY_FAULTS = (FaultKind.KILL_FRONT, FaultKind.PAUSE_FRONT, FaultKind.CUT_FRONT, FaultKind.ROLL_FRONTS)
+CORE_FAULTS = (FaultKind.KILL_CORE, FaultKind.PAUSE_CORE, FaultKind.CUT_CORE, FaultKind.MUTE_CORE)
+TRAFFIC_FAULTS = (FaultKind.LOST_ANSWERS, FaultKind.SLOW_BACKENDS, FaultKind.LEAVING_CLIENTS, FaultKind.CHANGES)
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
-    """One trouble: when it begins and ends (s from the start), and on which machine, by a lot from 0 to 1."""
+class ScheduledFault:
+    """One fault: start and end (s from the start), and a number from 0 to 1 that selects the machine."""
 
-    at: float
-    ends: float
-    trouble: Trouble
-    lot: float
+    starts_at: float
+    ends_at: float
+    kind: FaultKind
+    selector: float
 
 
-def draw(seed: int, groups: int) -> list[Entry]:
-    """The entries of a soak.
+def random_plan(seed: int, groups: int) -> list[ScheduledFault]:
+    """The faults of a soak test, by start.
 
-    A group has one trouble of the core at most, as the core bears the loss of one machine; clients leave in every
-    second group at least.
+    A group has at most one fault of a core machine, as the core tolerates the loss of one; clients disconnect in at
+    least every second group.
     """
     random, entries = Random(seed), []
     for group in range(groups):
-        begins = CALM + group * (GROUP + CALM)
-        chosen = [random.choice(ON_FRONTS), random.choice(ON_TRAFFIC)]
+        group_starts_at = PAUSE_S + group * (GROUP_S + PAUSE_S)
+        chosen = [random.choice(PROXY_FAULTS), random.choice(TRAFFIC_FAULTS)]
         if random.random() < 0.7:
-            chosen.append(random.choice(ON_CORE))
-        if group % 2 == 0 and Trouble.LEAVING_CLIENTS not in chosen:
-            chosen[1] = Trouble.LEAVING_CLIENTS
-        for trouble in chosen:
-            lasts = random.uniform(LEAST, MOST)
-            at = begins + random.uniform(0.0, GROUP - lasts)
-            entries.append(Entry(round(at, 2), round(at + lasts, 2), trouble, random.random()))
-    return sorted(entries, key=lambda entry: entry.at)
+            chosen.append(random.choice(CORE_FAULTS))
+        if group % 2 == 0 and FaultKind.LEAVING_CLIENTS not in chosen:
+            chosen[1] = FaultKind.LEAVING_CLIENTS
+        for kind in chosen:
+            duration_s = random.uniform(MIN_FAULT_S, MAX_FAULT_S)
+            starts_at = group_starts_at + random.uniform(0.0, GROUP_S - duration_s)
+            entries.append(
+                ScheduledFault(round(starts_at, 2), round(starts_at + duration_s, 2), kind, random.random())
+            )
+    return sorted(entries, key=lambda entry: entry.starts_at)
--- a/fennelpoint/testing/soak/records.py
+++ b/fennelpoint/testing/soak/records.py
@@ -1,171 +1,202 @@
-"""What clients, backends and probes of a soak wrote down, and what is wrong with it by these records alone."""
+"""Observations of a soak test's clients, backends and probes, and the checks on them."""
 
 from __future__ import annotations
 
 from collections import Counter
 from dataclasses import dataclass, field
 
-LEFT_AT_WORK = 0.5  # s after its client left, by which the work for a repeatable request has to end
-READY_FOR = 3.5  # s that a front has to be ready before the directory must know of it
-LAG = 0.15  # s that this process may be late by, for what it saw to be judged
-AROUND = 1.0  # s round a trouble of a front, or of the core machine that answered, in which it is not judged
-ENOUGH = 2  # fronts of a region, from which on nobody is led beyond it
-PROMISES = frozenset((408, 421, 429, 503))  # statuses that say that a request has not run and never will
+CANCEL_TIMEOUT_S = 0.5  # within which the execution of an idempotent request ends after its client disconnects
+DIRECTORY_DELAY_S = 3.5  # that a proxy has to be ready before the directory must name it
+LAG_TOLERANCE_S = 0.15  # delays of this process up to this do not invalidate its observations
+FAULT_MARGIN_S = 1.0  # around faults of a proxy, or of the core machine that replied: observations are not judged
+ENOUGH_PROXIES = 2  # in a region: with so many, clients are not sent to other regions
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))  # guarantee that the request did not run and never will
 
 
 @dataclass(slots=True)
-class Span:
-    """A time in which something held; it may go on."""
+class Interval:
+    """A period; unbounded if `ends_at` is infinite."""
 
-    begins: float
-    ends: float = float("inf")
+    starts_at: float
+    ends_at: float = float("inf")
 
-    def meets(self, begins: float, ends: float) -> bool:
-        return self.begins < ends and begins < self.ends
+    def overlaps(self, starts_at: float, ends_at: float) -> bool:
+        return self.starts_at < ends_at and starts_at < self.ends_at
 
 
 @dataclass(slots=True)
-class Run:
-    """One arrival at a backend."""
+class Execution:
+    """Execution of one request at a backend."""
 
     attempt: str
-    began: float
-    ended: float = float("inf")
+    started_at: float
+    ended_at: float = float("inf")
 
 
 @dataclass(slots=True)
-class Departure:
-    """A client that left before its answer."""
+class Cancellation:
+    """A client that disconnected before the reply."""
 
     attempt: str
-    front: str
-    repeatable: bool
-    at: float
+    proxy: str
+    is_idempotent: bool
+    occurred_at: float
 
 
 @dataclass(slots=True)
 class Lookup:
-    """An answer of the directory: who gave it, for whom, and the machines that it names."""
+    """A reply of the directory: by which core machine, for which host and region, and the proxies it names."""
 
-    at: float
+    occurred_at: float
     core: str
     host: str
     region: str
-    named: list[str]
+    proxies: list[str]
 
 
 @dataclass
 class Records:
-    """All that was seen; `wrong` judges it at the end."""
+    """All observations; `violations` judges them at the end."""
 
     cores: tuple[str, ...]
-    regions: dict[str, str]  # of fronts
-    homes: dict[str, frozenset[str]]  # by host
-    runs: dict[str, list[Run]] = field(default_factory=dict)  # by attempt
-    writes: Counter = field(default_factory=Counter)  # runs by the mark of a write
-    confirmed: set[str] = field(default_factory=set)  # marks that were answered with success
-    promised: dict[str, str] = field(
-        default_factory=dict
-    )  # marks whose last answer was a promise, and by which front
-    answers: Counter = field(default_factory=Counter)  # by status; 0: none
-    departures: list[Departure] = field(default_factory=list)
+    regions: dict[str, str]  # by proxy
+    home_regions: dict[str, frozenset[str]]  # by host
+    executions: dict[str, list[Execution]] = field(default_factory=dict)  # by attempt
+    write_counts: Counter = field(default_factory=Counter)  # executions by id of the write
+    confirmed_writes: set[str] = field(default_factory=set)  # ids of writes answered with success
+    refused_writes: dict[str, str] = field(default_factory=dict)  # proxy that replied "not executed", by id
+    status_counts: Counter = field(default_factory=Counter)  # by status; 0: no reply
+    cancellations: list[Cancellation] = field(default_factory=list)
     lookups: list[Lookup] = field(default_factory=list)
-    ready: dict[str, list[Span]] = field(default_factory=dict)  # from and until when a front said that it is ready
-    begun: float = 0.0  # when the soak began; what is found is told from there
-    said_ready: dict[str, bool] = field(default_factory=dict)  # what it said last
-    troubled: dict[str, list[Span]] = field(default_factory=dict)  # by machine
-    planned: dict[str, list[Span]] = field(default_factory=dict)  # restarts in order, by front
-    lags: list[Span] = field(default_factory=list)  # when this process itself was late
-    logged: list[str] = field(default_factory=list)  # lines that no process may log
-
-    def trouble(self, machine: str, begins: float) -> Span:
-        """A trouble of a machine that begins; the caller sets its end."""
-        span = Span(begins)
-        self.troubled.setdefault(machine, []).append(span)
-        return span
-
-    def probed(self, front: str, ready: bool, asked: float) -> None:
-        """A front was asked then whether it is ready; it was for as long as it said so each time."""
-        spans, was = self.ready.setdefault(front, []), self.said_ready.get(front, False)
-        self.said_ready[front] = ready
-        if ready and was:
-            spans[-1].ends = asked
-        elif ready:
-            spans.append(Span(asked, asked))
-
-    def wrong(self) -> list[str]:
-        """What broke a rule, a sentence each; nothing where all is well."""
+    ready_intervals: dict[str, list[Interval]] = field(default_factory=dict)  # by proxy, from probes
+    soak_started_at: float = 0.0  # violations are reported relative to this time
+    reported_ready: dict[str, bool] = field(default_factory=dict)  # result of the last probe, by proxy
+    fault_intervals: dict[str, list[Interval]] = field(default_factory=dict)  # by machine
+    planned_restarts: dict[str, list[Interval]] = field(default_factory=dict)  # graceful restarts, by proxy
+    lag_intervals: list[Interval] = field(default_factory=list)  # when this process itself was delayed
+    log_errors: list[str] = field(default_factory=list)  # lines that no process may log, and similar findings
+
+    def begin_fault(self, machine: str, starts_at: float) -> Interval:
+        """Record that a fault of a machine begins; the caller sets the end of the interval."""
+        interval = Interval(starts_at)
+        self.fault_intervals.setdefault(machine, []).append(interval)
+        return interval
+
+    def record_probe(self, proxy: str, is_ready: bool, sent_at: float) -> None:
+        """Record a readiness probe; a proxy counts as ready between successive positive probes."""
+        intervals, was_ready = self.ready_intervals.setdefault(proxy, []), self.reported_ready.get(proxy, False)
+        self.reported_ready[proxy] = is_ready
+        if is_ready and was_ready:
+            intervals[-1].ends_at = sent_at
+        elif is_ready:
+            intervals.append(Interval(sent_at, sent_at))
+
+    def violations(self) -> list[str]:
+        """One sentence for each violated rule; empty if there is none."""
         return [
-            *(f"write {mark} ran {count} times" for mark, count in self.writes.items() if count > 1),
-            *(f"write {mark} was confirmed and never ran" for mark in sorted(self.confirmed - self.writes.keys())),
-            *(f"write {mark} was refused, and ran" for mark in sorted(self.promised.keys() & self.writes.keys())),
-            *(self._left_at_work(departure) for departure in self.judged_departures() if self._works_on(departure)),
-            *(self._astray(lookup) for lookup in self.lookups if self._leads_astray(lookup)),
-            *self.logged,
+            *(f"write {mark} ran {count} times" for mark, count in self.write_counts.items() if count > 1),
+            *(
+                f"write {mark} was confirmed and never ran"
+                for mark in sorted(self.confirmed_writes - self.write_counts.keys())
+            ),
+            *(
+                f"write {mark} was refused, and ran"
+                for mark in sorted(self.refused_writes.keys() & self.write_counts.keys())
+            ),
+            *(
+                self._describe_late_execution(cancellation)
+                for cancellation in self.judged_cancellations()
+                if self._ran_too_long(cancellation)
+            ),
+            *(self._describe_lookup(lookup) for lookup in self.lookups if self._is_misdirected(lookup)),
+            *self.log_errors,
         ]
 
-    def judged_departures(self) -> list[Departure]:
-        """Those of repeatable requests from fronts without trouble, seen by a process that was not late."""
-        return [d for d in self.departures if d.repeatable and self._calm(d.front, d.at, d.at + LEFT_AT_WORK)]
+    def judged_cancellations(self) -> list[Cancellation]:
+        """Cancellations of idempotent requests at proxies without faults, while this process was not delayed."""
+        return [
+            c
+            for c in self.cancellations
+            if c.is_idempotent and self._is_undisturbed(c.proxy, c.occurred_at, c.occurred_at + CANCEL_TIMEOUT_S)
+        ]
 
     def judged_lookups(self) -> list[Lookup]:
-        """Those at core machines without trouble, while a front of the region had been ready for some time."""
-        return [lookup for lookup in self.lookups if self._served_inside(lookup)]
+        """Lookups at core machines without faults, while a proxy of the region had been ready for some time."""
+        return [lookup for lookup in self.lookups if self._has_local_proxy(lookup)]
 
-    def _calm(self, machine: str, begins: float, ends: float) -> bool:
-        spans = [*self.troubled.get(machine, ()), *self.lags]
-        return not any(span.meets(begins - AROUND, ends + AROUND) for span in spans)
+    def _is_undisturbed(self, machine: str, starts_at: float, ends_at: float) -> bool:
+        intervals = [*self.fault_intervals.get(machine, ()), *self.lag_intervals]
+        return not any(
+            interval.overlaps(starts_at - FAULT_MARGIN_S, ends_at + FAULT_MARGIN_S) for interval in intervals
+        )
 
-    def _works_on(self, departure: Departure) -> bool:
-        limit = departure.at + LEFT_AT_WORK + LAG
-        return any(run.ended > limit or run.began > limit for run in self.runs.get(departure.attempt, ()))
+    def _ran_too_long(self, cancellation: Cancellation) -> bool:
+        latest_end = cancellation.occurred_at + CANCEL_TIMEOUT_S + LAG_TOLERANCE_S
+        return any(
+            execution.ended_at > latest_end or execution.started_at > latest_end
+            for execution in self.executions.get(cancellation.attempt, ())
+        )
 
-    def _left_at_work(self, departure: Departure) -> str:
-        late = max(run.ended for run in self.runs[departure.attempt]) - departure.at
+    def _describe_late_execution(self, cancellation: Cancellation) -> str:
+        late_s = (
+            max(execution.ended_at for execution in self.executions[cancellation.attempt]) - cancellation.occurred_at
+        )
         return (
-            f"{departure.at - self.begun:.2f} s: attempt {departure.attempt} by {departure.front} was worked on for "
-            f"{late:.2f} s after its client left"
+            f"{cancellation.occurred_at - self.soak_started_at:.2f} s: attempt {cancellation.attempt} "
+            f"by {cancellation.proxy} ran for {late_s:.2f} s after its client disconnected"
         )
 
-    def _astray(self, lookup: Lookup) -> str:
+    def _describe_lookup(self, lookup: Lookup) -> str:
         return (
-            f"{lookup.at - self.begun:.2f} s: {lookup.core} leads a client of {lookup.region}, for {lookup.host}, "
-            f"to {', '.join(lookup.named)}"
+            f"{lookup.occurred_at - self.soak_started_at:.2f} s: {lookup.core} directs a client of {lookup.region}, "
+            f"for {lookup.host}, to {', '.join(lookup.proxies)}"
         )
 
-    def _leads_astray(self, lookup: Lookup) -> bool:
-        """Beyond region and homes, though one inside lives; without homes, though there are enough inside.
+    def _is_misdirected(self, lookup: Lookup) -> bool:
+        """Whether a client is sent outside its region and the host's home regions without need.
 
-        Where a core machine is in trouble, fronts that ask there may be taken as silent for a moment by the others.
-        A host without homes may then be led beyond the region, one with homes may not.
+        A host with home regions: though a proxy inside them is available. A host without: though its region has
+        enough proxies. During a fault of a core machine, the others may briefly take the proxies connected to it for
+        silent; clients may then be sent outside the region for a host without home regions, but not for one with.
         """
-        homes = self.homes.get(lookup.host, frozenset())
-        beyond = any(self.regions[front] not in homes | {lookup.region} for front in lookup.named)
-        if homes:
-            return beyond and (self._serving_inside(lookup) > 0 or self._restarting(homes | {lookup.region}, lookup))
-        calm = all(self._calm(core, lookup.at - READY_FOR, lookup.at) for core in self.cores)
-        return beyond and calm and self._serving_inside(lookup) >= ENOUGH
-
-    def _restarting(self, regions: frozenset[str], lookup: Lookup) -> bool:
-        """Whether a front of these is restarted in order, in a time in which no core machine had any trouble."""
+        home_regions = self.home_regions.get(lookup.host, frozenset())
+        leaves_region = any(self.regions[proxy] not in home_regions | {lookup.region} for proxy in lookup.proxies)
+        if home_regions:
+            return leaves_region and (
+                self._count_local_proxies(lookup) > 0 or self._is_restarting(home_regions | {lookup.region}, lookup)
+            )
+        is_undisturbed = all(
+            self._is_undisturbed(core, lookup.occurred_at - DIRECTORY_DELAY_S, lookup.occurred_at)
+            for core in self.cores
+        )
+        return leaves_region and is_undisturbed and self._count_local_proxies(lookup) >= ENOUGH_PROXIES
+
+    def _is_restarting(self, regions: frozenset[str], lookup: Lookup) -> bool:
+        """Whether a proxy of these regions is being restarted gracefully, while no core machine has a fault."""
         return any(
-            span.begins + LAG < lookup.at < span.ends - LAG
-            and all(self._calm(machine, span.begins, lookup.at) for machine in (front, *self.cores))
-            for front, spans in self.planned.items()
-            if self.regions[front] in regions
-            for span in spans
+            interval.starts_at + LAG_TOLERANCE_S < lookup.occurred_at < interval.ends_at - LAG_TOLERANCE_S
+            and all(
+                self._is_undisturbed(machine, interval.starts_at, lookup.occurred_at)
+                for machine in (proxy, *self.cores)
+            )
+            for proxy, intervals in self.planned_restarts.items()
+            if self.regions[proxy] in regions
+            for interval in intervals
         )
 
-    def _served_inside(self, lookup: Lookup) -> bool:
-        return self._serving_inside(lookup) > 0
+    def _has_local_proxy(self, lookup: Lookup) -> bool:
+        return self._count_local_proxies(lookup) > 0
 
-    def _serving_inside(self, lookup: Lookup) -> int:
-        """Fronts of the client's region that must have been known; none where the core machine was in trouble."""
-        begins = lookup.at - READY_FOR
-        if not self._calm(lookup.core, begins, lookup.at):
+    def _count_local_proxies(self, lookup: Lookup) -> int:
+        """Number of proxies in the client's region that the core machine must know; 0 if it had a fault."""
+        starts_at = lookup.occurred_at - DIRECTORY_DELAY_S
+        if not self._is_undisturbed(lookup.core, starts_at, lookup.occurred_at):
             return 0
         return sum(
-            any(span.begins <= begins and span.ends >= lookup.at + LAG for span in spans)
-            for front, spans in self.ready.items()
-            if self.regions[front] == lookup.region and self._calm(front, begins, lookup.at)
+            any(
+                interval.starts_at <= starts_at and interval.ends_at >= lookup.occurred_at + LAG_TOLERANCE_S
+                for interval in intervals
+            )
+            for proxy, intervals in self.ready_intervals.items()
+            if self.regions[proxy] == lookup.region and self._is_undisturbed(proxy, starts_at, lookup.occurred_at)
         )
--- a/fennelpoint/testing/soak/runner.py
+++ b/fennelpoint/testing/soak/runner.py
@@ -1,4 +1,4 @@
-"""One soak: starts the machines, plays the troubles of a seed, and judges the records."""
+"""Runs a soak test: starts the machines, injects the faults of a seed, and judges the records."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 from fennelpoint.system.settings import Bounds
 from fennelpoint.testing.soak.connection_cutter import VARIABLE
-from fennelpoint.testing.soak.plan import CALM, Entry, Trouble, draw
-from fennelpoint.testing.soak.records import LAG, Records, Span
-from fennelpoint.testing.soak.traffic import SLOWER, Places, SoakBackend, SoakClient, Weather
-from fennelpoint.testing.soak.versions import VersionClient, Versions, routes_of
+from fennelpoint.testing.soak.plan import PAUSE_S, FaultKind, ScheduledFault, random_plan
+from fennelpoint.testing.soak.records import LAG_TOLERANCE_S, Interval, Records
+from fennelpoint.testing.soak.traffic import SLOWDOWN_FACTOR, Addresses, SoakBackend, SoakClient, TrafficFaults
+from fennelpoint.testing.soak.versions import VersionClient, VersionHistory, route_prefixes
 from fennelpoint.testing.system_demo import GRACE, KEY, Site, call, until
 
 ZONES = {"za": "ra", "zb": "rb", "zc": "rc"}
 CORES = ("core-za", "core-zb", "core-zc")
-FRONTS = ("front-za-1", "front-za-2", "front-zb-1", "front-zb-2", "front-zc-1", "front-zc-2")
-HOMES = {"bookings.example": (), "homes.example": ("ra", "rb"), "home.example": ("ra",)}  # of hosts' routes
-CLIENTS = 2  # of each zone and host
-PAUSE = 0.12  # s between two requests of a client
-PROBE = 0.1  # s between two looks at the readiness of the fronts, and at our own lateness
-LOST, LEFT = 0.3, 0.8  # share of answers that are lost, and of clients that leave, while that is the trouble
-CHANGE_EVERY = 0.1  # s between two changes while they are the trouble
-CHANGE_USUALLY = 0.7  # s between two changes at other times
-LEASE = Bounds().lease_s  # s that a front which is cut off may still serve: cuts of fronts last longer
-STARTED, HEALED = 30.0, 20.0  # s for all to be up, and to serve again after the last trouble
-SERVED_IN_A_ROW = 20  # requests without a failure after which all is well again
-FORBIDDEN = (" 500 VIOLATED ", " 111 CRASHED ")  # in the log of any process
+PROXIES = ("front-za-1", "front-za-2", "front-zb-1", "front-zb-2", "front-zc-1", "front-zc-2")
+HOME_REGIONS = {"bookings.example": (), "homes.example": ("ra", "rb"), "home.example": ("ra",)}  # of hosts' routes
+CLIENTS = 2  # per zone and host
+REQUEST_INTERVAL_S = 0.12  # of one client
+PROBE_INTERVAL_S = 0.1  # of the readiness of proxies, and of this process's own delays
+LOSS_SHARE, CANCEL_SHARE = 0.3, 0.8  # of lost replies, and of clients that disconnect, during these faults
+FAST_CHANGE_INTERVAL_S = 0.1  # between configuration changes during that fault
+CHANGE_INTERVAL_S = 0.7  # between configuration changes at other times
+LEASE_S = Bounds().lease_s  # a proxy that is cut off may serve that long: partitions of proxies last longer
+START_TIMEOUT_S, RECOVERY_TIMEOUT_S = 30.0, 20.0  # recovery: after the last fault
+RECOVERY_REQUESTS = 20  # successive requests without a failure that show recovery
+FORBIDDEN_EVENTS = (" 500 VIOLATED ", " 111 CRASHED ")  # in the log of any process
 PROGRAM = (
     "import runpy, sys; sys.argv[0] = 'cuttable'; "
     "runpy.run_module('fennelpoint.testing.soak.connection_cutter', run_name='__main__', alter_sys=True)"
@@ -44,10 +44,12 @@
 
 
 def configuration(version: int, base: int) -> bytes:
-    """The routes of all hosts, of which one has no homes, and those that tell versions apart."""
+    """Routes of all hosts, of which one has no home regions, and the routes that tell versions apart."""
 
     def rules(prefix: str, homes: tuple[str, ...]) -> list[dict]:
-        kinds = {"/look/": "idempotent", "/book/": "non_idempotent"} | dict.fromkeys(routes_of(version), "idempotent")
+        kinds = {"/look/": "idempotent", "/book/": "non_idempotent"} | dict.fromkeys(
+            route_prefixes(version), "idempotent"
+        )
         return [
             {
                 "name": f"{prefix}{path.strip('/')}",
@@ -72,7 +74,7 @@
             "tenants": [{"name": "agency", "api_keys": [KEY], "rate_per_s": 2000, "burst_size": 2000}],
             "listener_table": [
                 {"host": host, "rule_set": rules(f"{host.partition('.')[0]}-", homes)}
-                for host, homes in HOMES.items()
+                for host, homes in HOME_REGIONS.items()
             ],
         }
     ).encode()
@@ -80,82 +82,84 @@
 
 @dataclass
 class Result:
-    """What a soak showed."""
+    """Outcome of a soak test."""
 
     seed: int
-    wrong: list[str]
+    violations: list[str]
     requests: int
     served: int
-    departures: int  # that were judged
-    lookups: int  # that were judged
-    version_answers: int  # for routes that one version has
-    versions: int  # that were acknowledged
-    longest_end: float  # s from a SIGTERM to the end of its process
-    lag: float  # s that the soak itself was late by in all; what it saw then is not judged
-    troubles: list[str] = field(default_factory=list)
+    cancellations: int  # judged
+    lookups: int  # judged
+    version_answers: int  # replies to requests for the routes that tell versions apart
+    versions: int  # acknowledged
+    longest_shutdown_s: float  # from a SIGTERM to the end of the process
+    lag_s: float  # total delay of this process; what it observed then is not judged
+    faults: list[str] = field(default_factory=list)
 
 
 class Soak:
-    """The machines, the traffic and the troubles of one seed."""
+    """The machines, the traffic and the faults of one seed."""
 
-    def __init__(self, seed: int, groups: int, folder: Path, say: Callable[[str], None]) -> None:
-        self.seed, self.folder, self.say = seed, folder, say
-        self.entries = draw(seed, groups)
+    def __init__(self, seed: int, groups: int, folder: Path, report: Callable[[str], None]) -> None:
+        self.seed, self.folder, self.report = seed, folder, report
+        self.scheduled_faults = random_plan(seed, groups)
         os.environ[VARIABLE] = ""
-        self.site = Site(folder, ZONES, CORES, FRONTS, PROGRAM)
+        self.site = Site(folder, ZONES, CORES, PROXIES, PROGRAM)
         self.records = Records(
-            CORES, {front: ZONES[self._zone(front)] for front in FRONTS},
-            {host: frozenset(homes) for host, homes in HOMES.items() if homes}
+            CORES, {proxy: ZONES[self._zone(proxy)] for proxy in PROXIES},
+            {host: frozenset(homes) for host, homes in HOME_REGIONS.items() if homes}
         )  # fmt: skip
-        self.weather = Weather()
+        self.traffic_faults = TrafficFaults()
         self.cores = [self.site.at(core, "control_plane") for core in CORES]
         self.backends = [
-            SoakBackend(f"i-{n}", zone, self.cores, self.records, self.weather)
+            SoakBackend(f"i-{n}", zone, self.cores, self.records, self.traffic_faults)
             for n, zone in enumerate((*ZONES, *ZONES), 1)
         ]
-        self.places = Places(
+        self.addresses = Addresses(
             {core: self.site.at(core, "directory_service") for core in CORES},
-            {front: self.site.at(front, "public_http") for front in FRONTS},
+            {proxy: self.site.at(proxy, "public_http") for proxy in PROXIES},
         )
-        self.cut: dict[str, set[str]] = {machine: set() for machine in (*CORES, *FRONTS)}
+        self.blocked: dict[str, set[str]] = {machine: set() for machine in (*CORES, *PROXIES)}
         self.version = 0
-        self.versions = Versions(Bounds().newest_within_s)
-        self.changing = asyncio.Lock()
-        self.longest_end = 0.0  # s from a SIGTERM to the end of its process
+        self.versions = VersionHistory(Bounds().newest_within_s)
+        self.change_lock = asyncio.Lock()
+        self.longest_shutdown_s = 0.0
         self.tasks: list[asyncio.Task] = []
 
     @staticmethod
     def _zone(machine: str) -> str:
         return machine.split("-")[1]
 
-    async def play(self) -> Result:
-        """Start, trouble, heal, judge."""
+    async def run(self) -> Result:
+        """Start all machines, inject the faults, wait for recovery, and judge the records."""
         try:
             await self._start()
-            begun = self.records.begun = time.monotonic()
-            await asyncio.gather(*(self._trouble(entry, begun) for entry in self.entries))
-            await self._healed()
+            started_at = self.records.soak_started_at = time.monotonic()
+            await asyncio.gather(*(self._run_fault(fault, started_at) for fault in self.scheduled_faults))
+            await self._wait_for_recovery()
         finally:
             await self._stop()
         self._read_logs()
         return self._result()
 
     async def _start(self) -> None:
-        for machine in (*CORES, *FRONTS):
+        for machine in (*CORES, *PROXIES):
             await self._boot(machine, first=True)
         await asyncio.gather(*(backend.start() for backend in self.backends))
-        await until(self._change, STARTED, "the first configuration")
-        await until(self._all_ready, STARTED, "all fronts")
-        self._go(self._watch_lag(), self._change_usually(), *map(self._probe, FRONTS))
-        for front in FRONTS:
-            asks = VersionClient(front, self.site.at(front, "public_http"), self.versions, lambda: self.version)
-            self._go(asks.run(PAUSE))
+        await until(self._change, START_TIMEOUT_S, "the first configuration")
+        await until(self._all_ready, START_TIMEOUT_S, "all proxies")
+        self._start_tasks(self._watch_lag(), self._change_regularly(), *map(self._probe, PROXIES))
+        for proxy in PROXIES:
+            version_client = VersionClient(
+                proxy, self.site.at(proxy, "public_http"), self.versions, lambda: self.version
+            )
+            self._start_tasks(version_client.run(REQUEST_INTERVAL_S))
         for zone, region in ZONES.items():
-            for host in [*HOMES] * CLIENTS:
-                client = SoakClient(zone, region, host, self.places, self.records, self.weather)
-                self._go(client.run(PAUSE))
+            for host in [*HOME_REGIONS] * CLIENTS:
+                client = SoakClient(zone, region, host, self.addresses, self.records, self.traffic_faults)
+                self._start_tasks(client.run(REQUEST_INTERVAL_S))
 
-    def _go(self, *coroutines) -> None:
+    def _start_tasks(self, *coroutines) -> None:
         self.tasks += [asyncio.create_task(coroutine) for coroutine in coroutines]
 
     async def _boot(self, machine: str, first: bool = False) -> None:
@@ -163,198 +167,203 @@
         await self.site.start(machine, first=first)
 
     async def _change(self) -> bool:
-        """One configuration on top of the newest; whether it was acknowledged."""
-        async with self.changing:
+        """Send a configuration based on the newest one; returns whether it was acknowledged."""
+        async with self.change_lock:
             number = self.version + 1
-            self.versions.sent.setdefault(number, time.monotonic())
+            self.versions.sent_at.setdefault(number, time.monotonic())
             body = configuration(number, self.version)
             status = await call(random.choice(self.cores), "PUT", "/api/configuration", body)
             if status == 200:
-                self.versions.acked[number] = time.monotonic()
+                self.versions.acknowledged_at[number] = time.monotonic()
                 self.version = number
         return status == 200
 
-    async def _change_usually(self) -> None:
+    async def _change_regularly(self) -> None:
         while True:
-            await asyncio.sleep(CHANGE_USUALLY * random.uniform(0.5, 1.5))
+            await asyncio.sleep(CHANGE_INTERVAL_S * random.uniform(0.5, 1.5))
             await self._change()
 
-    async def _is_ready(self, front: str) -> bool:
-        return await call(self.site.at(front, "readiness"), "GET", "/api/readiness") == 200
+    async def _is_ready(self, proxy: str) -> bool:
+        return await call(self.site.at(proxy, "readiness"), "GET", "/api/readiness") == 200
 
     async def _all_ready(self) -> bool:
-        return all(await asyncio.gather(*(self._is_ready(front) for front in FRONTS)))
+        return all(await asyncio.gather(*(self._is_ready(proxy) for proxy in PROXIES)))
 
-    async def _probe(self, front: str) -> None:
-        """One front by itself: others may be slow to answer, or may not answer at all."""
+    async def _probe(self, proxy: str) -> None:
+        """Probe one proxy; each has its own task, as others may reply slowly or not at all."""
         while True:
-            asked = time.monotonic()
-            self.records.probed(front, await self._is_ready(front), asked)
-            await asyncio.sleep(PROBE)
+            sent_at = time.monotonic()
+            self.records.record_probe(proxy, await self._is_ready(proxy), sent_at)
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
     async def _watch_lag(self) -> None:
-        """A process that is late itself must not blame others: whatever it saw meanwhile is not judged."""
+        """Record delays of this process, during which its observations are not judged."""
         while True:
             before = time.monotonic()
-            await asyncio.sleep(PROBE / 2)
-            if time.monotonic() - before > PROBE / 2 + LAG:
-                self.records.lags.append(Span(before, time.monotonic()))
+            await asyncio.sleep(PROBE_INTERVAL_S / 2)
+            if time.monotonic() - before > PROBE_INTERVAL_S / 2 + LAG_TOLERANCE_S:
+                self.records.lag_intervals.append(Interval(before, time.monotonic()))
 
-    # Troubles
+    # Faults
 
-    async def _trouble(self, entry: Entry, begun: float) -> None:
-        await asyncio.sleep(entry.at - (time.monotonic() - begun))
-        lasts = entry.ends - entry.at
-        front, core = FRONTS[int(entry.lot * len(FRONTS))], CORES[int(entry.lot * len(CORES))]
+    async def _run_fault(self, fault: ScheduledFault, started_at: float) -> None:
+        await asyncio.sleep(fault.starts_at - (time.monotonic() - started_at))
+        duration_s = fault.ends_at - fault.starts_at
+        proxy, core = PROXIES[int(fault.selector * len(PROXIES))], CORES[int(fault.selector * len(CORES))]
         others = {self._address(other) for other in CORES if other != core}
-        self.say(f"{entry.at:6.2f} to {entry.ends:6.2f} s  {entry.trouble.value} ({front}, {core}, {entry.lot:.3f})")
-        match entry.trouble:
-            case Trouble.KILL_FRONT:
-                await self._kill(front, lasts)
-            case Trouble.KILL_CORE:
-                await self._kill(core, lasts)
-            case Trouble.PAUSE_FRONT:
-                await self._pause(front, lasts)
-            case Trouble.PAUSE_CORE:
-                await self._pause(core, lasts)
-            case Trouble.ROLL_FRONTS:
-                await self._roll([one for one in FRONTS if self._zone(one) == self._zone(front)], lasts)
-            case Trouble.CUT_FRONT:
-                await self._cut({front}, {*CORES, *FRONTS} - {front}, lasts + LEASE)
-            case Trouble.CUT_CORE:
-                await self._cut({core}, set(CORES) - {core}, lasts)
-            case Trouble.MUTE_CORE:
-                await self._deaf(core, others, lasts)
-            case Trouble.LOST_ANSWERS:
-                await self._weather("losing", LOST, lasts)
-            case Trouble.SLOW_BACKENDS:
-                await self._weather("slower", SLOWER, lasts)
-            case Trouble.LEAVING_CLIENTS:
-                await self._weather("leaving", LEFT, lasts)
-            case Trouble.CHANGES:
-                await self._changes(lasts)
+        self.report(
+            f"{fault.starts_at:6.2f} to {fault.ends_at:6.2f} s  {fault.kind.value} "
+            f"({proxy}, {core}, {fault.selector:.3f})"
+        )
+        match fault.kind:
+            case FaultKind.KILL_FRONT:
+                await self._kill(proxy, duration_s)
+            case FaultKind.KILL_CORE:
+                await self._kill(core, duration_s)
+            case FaultKind.PAUSE_FRONT:
+                await self._pause(proxy, duration_s)
+            case FaultKind.PAUSE_CORE:
+                await self._pause(core, duration_s)
+            case FaultKind.ROLL_FRONTS:
+                await self._rolling_restart(
+                    [other for other in PROXIES if self._zone(other) == self._zone(proxy)], duration_s
+                )
+            case FaultKind.CUT_FRONT:
+                await self._partition({proxy}, {*CORES, *PROXIES} - {proxy}, duration_s + LEASE_S)
+            case FaultKind.CUT_CORE:
+                await self._partition({core}, set(CORES) - {core}, duration_s)
+            case FaultKind.MUTE_CORE:
+                await self._drop_incoming(core, others, duration_s)
+            case FaultKind.LOST_ANSWERS:
+                await self._disturb_traffic("loss_share", LOSS_SHARE, duration_s)
+            case FaultKind.SLOW_BACKENDS:
+                await self._disturb_traffic("slowdown", SLOWDOWN_FACTOR, duration_s)
+            case FaultKind.LEAVING_CLIENTS:
+                await self._disturb_traffic("cancel_share", CANCEL_SHARE, duration_s)
+            case FaultKind.CHANGES:
+                await self._change_repeatedly(duration_s)
 
     def _address(self, machine: str) -> str:
         return (self.site.cores | self.site.fronts)[machine]
 
     @contextlib.contextmanager
-    def _troubled(self, *machines: str):
-        """What happens to these machines meanwhile may be the trouble's doing."""
-        spans = [self.records.trouble(machine, time.monotonic()) for machine in machines]
+    def _record_fault(self, *machines: str):
+        """Record a fault of these machines for the duration of the block."""
+        intervals = [self.records.begin_fault(machine, time.monotonic()) for machine in machines]
         try:
             yield
         finally:
-            for span in spans:
-                span.ends = time.monotonic()
+            for interval in intervals:
+                interval.ends_at = time.monotonic()
 
-    async def _end(self, front: str, process: asyncio.subprocess.Process) -> None:
-        """SIGTERM; one that does not end in time is a fault, and is killed so that the soak goes on."""
+    async def _terminate(self, proxy: str, process: asyncio.subprocess.Process) -> None:
+        """Send SIGTERM; a process that does not end in time is a violation, and is killed."""
         process.send_signal(signal.SIGTERM)
-        told = time.monotonic()
+        sent_at = time.monotonic()
         try:
             await asyncio.wait_for(process.wait(), 2 * GRACE)
         except TimeoutError:
-            self.records.logged.append(f"{front} had not ended {2 * GRACE:g} s after SIGTERM")
+            self.records.log_errors.append(f"{proxy} had not ended {2 * GRACE:g} s after SIGTERM")
             process.kill()
             await process.wait()
-        self.longest_end = max(self.longest_end, time.monotonic() - told)
+        self.longest_shutdown_s = max(self.longest_shutdown_s, time.monotonic() - sent_at)
 
     @contextlib.contextmanager
-    def _planned(self, front: str):
-        """A restart in order, from the SIGTERM until the next process has begun."""
-        span = Span(time.monotonic())
-        self.records.planned.setdefault(front, []).append(span)
+    def _record_restart(self, proxy: str):
+        """Record a graceful restart, from the SIGTERM until the next process has started."""
+        interval = Interval(time.monotonic())
+        self.records.planned_restarts.setdefault(proxy, []).append(interval)
         try:
             yield
         finally:
-            span.ends = time.monotonic()
+            interval.ends_at = time.monotonic()
 
-    async def _kill(self, machine: str, lasts: float) -> None:
-        with self._troubled(machine):
+    async def _kill(self, machine: str, duration_s: float) -> None:
+        with self._record_fault(machine):
             await self.site.kill(machine)
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration_s)
             await self._boot(machine)
 
-    async def _pause(self, machine: str, lasts: float) -> None:
+    async def _pause(self, machine: str, duration_s: float) -> None:
         processes = [process for key, process in self.site.running.items() if key[0] == machine]
-        with self._troubled(machine):
+        with self._record_fault(machine):
             for process in processes:
                 process.send_signal(signal.SIGSTOP)
             try:
-                await asyncio.sleep(lasts)
+                await asyncio.sleep(duration_s)
             finally:
                 for process in processes:
                     if process.returncode is None:
                         process.send_signal(signal.SIGCONT)
 
-    async def _roll(self, fronts: list[str], lasts: float) -> None:
-        """SIGTERM to one after the other, before the first one is back: planned work, which breaks no rule."""
+    async def _rolling_restart(self, proxies: list[str], duration_s: float) -> None:
+        """Restart the proxies one after the other, without waiting for the previous one; this must break no rule."""
 
-        async def restart(front: str) -> None:
-            process = self.site.running.pop((front, "span"), None)
+        async def restart(proxy: str) -> None:
+            process = self.site.running.pop((proxy, "span"), None)
             if process is None or process.returncode is not None:
-                return await self._boot(front)
-            with self._planned(front):
-                await self._end(front, process)
-                await self._boot(front)
-
-        async def later(number: int, front: str) -> None:
-            await asyncio.sleep(number * lasts / len(fronts))
-            await restart(front)
-
-        await asyncio.gather(*(later(number, front) for number, front in enumerate(fronts)))
-
-    async def _cut(self, these: set[str], those: set[str], lasts: float) -> None:
-        with self._troubled(*these):
-            for one, others in [*((one, those) for one in these), *((one, these) for one in those)]:
-                self._set_cut(one, self.cut[one] | {self._address(other) for other in others})
-            await asyncio.sleep(lasts)
-            for one, others in [*((one, those) for one in these), *((one, these) for one in those)]:
-                self._set_cut(one, self.cut[one] - {self._address(other) for other in others})
-
-    async def _deaf(self, machine: str, addresses: set[str], lasts: float) -> None:
-        with self._troubled(machine):
-            self._set_cut(machine, self.cut[machine] | addresses)
-            await asyncio.sleep(lasts)
-            self._set_cut(machine, self.cut[machine] - addresses)
-
-    def _set_cut(self, machine: str, addresses: set[str]) -> None:
-        self.cut[machine] = addresses
+                return await self._boot(proxy)
+            with self._record_restart(proxy):
+                await self._terminate(proxy, process)
+                await self._boot(proxy)
+
+        async def later(number: int, proxy: str) -> None:
+            await asyncio.sleep(number * duration_s / len(proxies))
+            await restart(proxy)
+
+        await asyncio.gather(*(later(number, proxy) for number, proxy in enumerate(proxies)))
+
+    async def _partition(self, left: set[str], right: set[str], duration_s: float) -> None:
+        with self._record_fault(*left):
+            for machine, peers in [*((machine, right) for machine in left), *((machine, left) for machine in right)]:
+                self._write_blocked(machine, self.blocked[machine] | {self._address(peer) for peer in peers})
+            await asyncio.sleep(duration_s)
+            for machine, peers in [*((machine, right) for machine in left), *((machine, left) for machine in right)]:
+                self._write_blocked(machine, self.blocked[machine] - {self._address(peer) for peer in peers})
+
+    async def _drop_incoming(self, machine: str, addresses: set[str], duration_s: float) -> None:
+        with self._record_fault(machine):
+            self._write_blocked(machine, self.blocked[machine] | addresses)
+            await asyncio.sleep(duration_s)
+            self._write_blocked(machine, self.blocked[machine] - addresses)
+
+    def _write_blocked(self, machine: str, addresses: set[str]) -> None:
+        self.blocked[machine] = addresses
         path = self.folder / f"{machine}.cuts"
         path.with_suffix(".new").write_text(" ".join(sorted(addresses)))
         path.with_suffix(".new").replace(path)
 
-    async def _weather(self, name: str, value: float, lasts: float) -> None:
-        usual = getattr(Weather(), name)
-        setattr(self.weather, name, value)
-        await asyncio.sleep(lasts)
-        setattr(self.weather, name, usual)
+    async def _disturb_traffic(self, name: str, value: float, duration_s: float) -> None:
+        normal = getattr(TrafficFaults(), name)
+        setattr(self.traffic_faults, name, value)
+        await asyncio.sleep(duration_s)
+        setattr(self.traffic_faults, name, normal)
 
-    async def _changes(self, lasts: float) -> None:
-        ends = time.monotonic() + lasts
-        while time.monotonic() < ends:
+    async def _change_repeatedly(self, duration_s: float) -> None:
+        ends_at = time.monotonic() + duration_s
+        while time.monotonic() < ends_at:
             await self._change()
-            await asyncio.sleep(CHANGE_EVERY)
+            await asyncio.sleep(FAST_CHANGE_INTERVAL_S)
 
     # The end
 
-    async def _healed(self) -> None:
-        """All fronts are ready and requests are served in a row; raises RuntimeError where that does not come."""
-        await until(self._all_ready, HEALED, f"seed {self.seed}: all fronts ready after the last trouble")
+    async def _wait_for_recovery(self) -> None:
+        """Wait until all proxies are ready and successive requests succeed; raises RuntimeError after a timeout."""
+        await until(self._all_ready, RECOVERY_TIMEOUT_S, f"seed {self.seed}: all proxies ready after the last fault")
         clients = [
-            SoakClient(zone, region, host, self.places, self.records, Weather(leaving=0.0))
+            SoakClient(zone, region, host, self.addresses, self.records, TrafficFaults(cancel_share=0.0))
             for zone, region in ZONES.items()
-            for host in HOMES
+            for host in HOME_REGIONS
         ]
 
         async def served() -> bool:
-            for number in range(SERVED_IN_A_ROW):
-                if await clients[number % len(clients)].ask() != 200:
+            for number in range(RECOVERY_REQUESTS):
+                if await clients[number % len(clients)].send_request() != 200:
                     return False
             return True
 
-        await until(served, HEALED, f"seed {self.seed}: {SERVED_IN_A_ROW} requests served in a row")
-        await asyncio.sleep(CALM / 2)  # for runs that are judged to end
+        await until(served, RECOVERY_TIMEOUT_S, f"seed {self.seed}: {RECOVERY_REQUESTS} requests served in a row")
+        await asyncio.sleep(PAUSE_S / 2)  # so that executions that are judged can end
 
     async def _stop(self) -> None:
         for task in self.tasks:
@@ -367,33 +376,33 @@
     def _read_logs(self) -> None:
         for path in sorted(self.folder.glob("*.log")):
             for line in path.read_text(errors="replace").splitlines():
-                if "Traceback" in line or any(event in line for event in FORBIDDEN):
-                    self.records.logged.append(f"{path.stem} logged: {line}")
+                if "Traceback" in line or any(event in line for event in FORBIDDEN_EVENTS):
+                    self.records.log_errors.append(f"{path.stem} logged: {line}")
 
     def _result(self) -> Result:
-        answers = self.records.answers
+        answers = self.records.status_counts
         return Result(
             self.seed,
-            [*self.records.wrong(), *self.versions.wrong()],
+            [*self.records.violations(), *self.versions.violations()],
             sum(answers.values()),
             answers[200],
-            len(self.records.judged_departures()),
+            len(self.records.judged_cancellations()),
             len(self.records.judged_lookups()),
-            len(self.versions.answers),
-            len(self.versions.acked),
-            self.longest_end,
-            sum(span.ends - span.begins for span in self.records.lags),
-            [f"{entry.trouble.name} {entry.at:g}-{entry.ends:g}" for entry in self.entries],
+            len(self.versions.replies),
+            len(self.versions.acknowledged_at),
+            self.longest_shutdown_s,
+            sum(interval.ends_at - interval.starts_at for interval in self.records.lag_intervals),
+            [f"{fault.kind.name} {fault.starts_at:g}-{fault.ends_at:g}" for fault in self.scheduled_faults],
         )
 
 
-async def play(
-    seed: int, groups: int, say: Callable[[str], None] = lambda line: None, keep: Path | None = None
+async def run_soak(
+    seed: int, groups: int, report: Callable[[str], None] = lambda line: None, keep: Path | None = None
 ) -> Result:
-    """A whole soak of so many groups of troubles; `keep` gets the logs of one that found a fault."""
+    """Run a soak test with some groups of faults; `keep` is a folder for the logs if violations are found."""
     with tempfile.TemporaryDirectory(prefix="larchwing-soak-") as folder:
-        result = await Soak(seed, groups, Path(folder), say).play()
-        if result.wrong and keep is not None:
+        result = await Soak(seed, groups, Path(folder), report).run()
+        if result.violations and keep is not None:
             (keep / f"seed-{seed}").mkdir(parents=True, exist_ok=True)
             for log in Path(folder).glob("*.log"):
                 shutil.copy(log, keep / f"seed-{seed}")
--- a/fennelpoint/testing/soak/traffic.py
+++ b/fennelpoint/testing/soak/traffic.py
@@ -1,4 +1,4 @@
-"""Clients that may leave and backends that notice it: both write down what they saw."""
+"""Clients that may disconnect early and backends that notice it; both record what they observe."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 from urllib.parse import urlencode
 
 from fennelpoint.testing.servers import read_message
-from fennelpoint.testing.soak.records import PROMISES, Departure, Lookup, Records, Run
+from fennelpoint.testing.soak.records import NOT_EXECUTED_STATUSES, Cancellation, Execution, Lookup, Records
 from fennelpoint.testing.system_demo import KEY, Backend
 
-TIMEOUT = 2.0  # s that a client waits for an answer
-CONNECT = 1.0  # s for a connection, and for an answer of the directory
-LONG, LONG_WORK, WORK = 0.3, 1.2, 0.05  # share of long requests; s of work of these, and of the others
-PATIENCE = (0.05, 0.4)  # s after which a client that leaves does so
-SLOWER = 4.0  # times as long, while backends are slow
+REPLY_TIMEOUT_S = 2.0
+CONNECT_TIMEOUT_S = 1.0  # also for a reply of the directory
+LONG_SHARE, LONG_WORK_S, WORK_S = 0.3, 1.2, 0.05  # share of long requests; duration of these and of the others
+CANCEL_AFTER_S = (0.05, 0.4)  # range of times after which a client disconnects early
+SLOWDOWN_FACTOR = 4.0  # of slow backends
 
 
 @dataclass
-class Weather:
-    """What goes on just now, for all clients and backends."""
+class TrafficFaults:
+    """Current faults of all clients and backends."""
 
-    losing: float = 0.0  # share of the requests that get no answer
-    slower: float = 1.0  # times as long as usual
-    leaving: float = 0.1  # share of the clients that leave before their answer
+    loss_share: float = 0.0  # share of requests without a reply
+    slowdown: float = 1.0  # factor on the duration of work
+    cancel_share: float = 0.1  # share of clients that disconnect before the reply
 
 
 class SoakBackend(Backend):
-    """Works until its caller closes the connection, and records each run from its begin to its end."""
+    """Works until its caller closes the connection, and records each execution from start to end."""
 
-    def __init__(self, id: str, zone: str, cores: list[str], records: Records, weather: Weather) -> None:
+    def __init__(self, id: str, zone: str, cores: list[str], records: Records, traffic_faults: TrafficFaults) -> None:
         super().__init__(id, zone, cores, records)
-        self.records, self.weather = records, weather
+        self.records, self.traffic_faults = records, traffic_faults
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
@@ -49,19 +49,19 @@
             writer.close()
 
     async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """One request; whether the connection stays."""
+        """Handle one request; returns whether the connection stays open."""
         line, fields, body = await read_message(reader)
         if fields.get("x-expected-instance", self.id) != self.id:
             writer.write(b"HTTP/1.1 421 Misdirected\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
             return True
-        attempt, write = fields["x-attempt-id"], line.startswith("POST")
-        run = Run(attempt, time.monotonic())
-        self.records.runs.setdefault(attempt, []).append(run)
-        if write:
-            self.records.writes[body.decode()] += 1
-        left = await self._work(line, reader)
-        run.ended = time.monotonic()
-        if left or random.random() < self.weather.losing:
+        attempt, is_write = fields["x-attempt-id"], line.startswith("POST")
+        run = Execution(attempt, time.monotonic())
+        self.records.executions.setdefault(attempt, []).append(run)
+        if is_write:
+            self.records.write_counts[body.decode()] += 1
+        was_cancelled = await self._work(line, reader)
+        run.ended_at = time.monotonic()
+        if was_cancelled or random.random() < self.traffic_faults.loss_share:
             return False
         writer.write(
             f"HTTP/1.1 200 OK\r\nX-Attempt-Id: {attempt}\r\nX-Server-Seal: {self.id}\r\n"
@@ -70,119 +70,128 @@
         return True
 
     async def _work(self, line: str, reader: asyncio.StreamReader) -> bool:
-        """Work for as long as the path says; whether the caller left meanwhile."""
-        work = (LONG_WORK if "/long/" in line else WORK) * self.weather.slower
+        """Work for the time that the path selects; returns whether the caller disconnected meanwhile."""
+        duration_s = (LONG_WORK_S if "/long/" in line else WORK_S) * self.traffic_faults.slowdown
         try:
-            async with asyncio.timeout(work):
-                await reader.read(1)  # one request at a time: what comes is the end
+            async with asyncio.timeout(duration_s):
+                await reader.read(1)  # one request at a time: anything received is the end of the connection
         except TimeoutError:
             return False
         return True
 
 
 @dataclass
-class Places:
-    """Where machines are reached: addresses by machine, and machines by address."""
+class Addresses:
+    """Addresses by machine, and proxies by address."""
 
-    directories: dict[str, str]  # of core machines
-    publics: dict[str, str]  # of fronts
+    directories: dict[str, str]  # by core machine
+    public_addresses: dict[str, str]  # by proxy
 
     def __post_init__(self) -> None:
-        self.fronts = {address: front for front, address in self.publics.items()}
+        self.proxies_by_address = {address: proxy for proxy, address in self.public_addresses.items()}
 
 
 @dataclass
-class Told:
-    """What a client holds of the directory."""
+class CachedLookup:
+    """A client's cached reply of the directory."""
 
-    named: list[str] = field(default_factory=list)  # fronts
-    until: float = 0.0
+    proxies: list[str] = field(default_factory=list)
+    expires_at: float = 0.0
 
 
 class SoakClient:
-    """One client: it looks up, asks on a new connection each time, and may leave."""
+    """One client: looks up a proxy, sends each request on a new connection, and may disconnect early."""
 
     numbers = itertools.count(1)
 
-    def __init__(self, zone: str, region: str, host: str, places: Places, records: Records, weather: Weather) -> None:
+    def __init__(
+        self,
+        zone: str,
+        region: str,
+        host: str,
+        addresses: Addresses,
+        records: Records,
+        traffic_faults: TrafficFaults,
+    ) -> None:
         self.zone, self.region, self.host = zone, region, host
-        self.places, self.records, self.weather = places, records, weather
-        self.told = Told()
+        self.addresses, self.records, self.traffic_faults = addresses, records, traffic_faults
+        self.lookup = CachedLookup()
 
-    async def run(self, pause: float) -> None:
-        """One request after the other, until it is cancelled."""
+    async def run(self, interval_s: float) -> None:
+        """Send requests one after the other until cancelled."""
         while True:
-            await self.ask()
-            await asyncio.sleep(pause * random.uniform(0.5, 1.5))
+            await self.send_request()
+            await asyncio.sleep(interval_s * random.uniform(0.5, 1.5))
 
-    async def ask(self) -> int:
-        """The status of one request; 0: it got no answer."""
+    async def send_request(self) -> int:
+        """Send one request; returns its status, or 0 without a reply."""
         if not await self._look_up():
-            self.records.answers[0] += 1
+            self.records.status_counts[0] += 1
             return 0
-        front = random.choice(self.told.named)
-        write = random.random() < 0.3
+        proxy = random.choice(self.lookup.proxies)
+        is_write = random.random() < 0.3
         number = next(self.numbers)
         attempt = f"a{number}"
         try:
-            reader, writer = await self._connect(self.places.publics[front])
+            reader, writer = await self._connect(self.addresses.public_addresses[proxy])
         except (OSError, TimeoutError):
-            self.told.until = 0.0
-            self.records.answers[0] += 1
+            self.lookup.expires_at = 0.0
+            self.records.status_counts[0] += 1
             return 0
         try:
-            writer.write(self._request(attempt, write))
-            return await self._answer(reader, attempt, front, write)
+            writer.write(self._request(attempt, is_write))
+            return await self._read_reply(reader, attempt, proxy, is_write)
         finally:
             writer.transport.abort()
 
-    def _request(self, attempt: str, write: bool) -> bytes:
-        kind = "long" if random.random() < LONG else "short"
-        body = attempt.encode() if write else b""
+    def _request(self, attempt: str, is_write: bool) -> bytes:
+        kind = "long" if random.random() < LONG_SHARE else "short"
+        body = attempt.encode() if is_write else b""
         return (
-            f"{'POST' if write else 'GET'} /{'book' if write else 'look'}/{kind}/ HTTP/1.1\r\nHost: {self.host}\r\n"
-            f"X-Attempt-Id: {attempt}\r\nX-Deadline-Remaining: {int(TIMEOUT * 1000)}\r\n"
+            f"{'POST' if is_write else 'GET'} /{'book' if is_write else 'look'}/{kind}/ HTTP/1.1\r\n"
+            f"Host: {self.host}\r\n"
+            f"X-Attempt-Id: {attempt}\r\nX-Deadline-Remaining: {int(REPLY_TIMEOUT_S * 1000)}\r\n"
             f"Authorization: Token {KEY}\r\nContent-Length: {len(body)}\r\n\r\n"
         ).encode() + body
 
-    async def _answer(self, reader: asyncio.StreamReader, attempt: str, front: str, write: bool) -> int:
-        leaves = random.random() < self.weather.leaving
+    async def _read_reply(self, reader: asyncio.StreamReader, attempt: str, proxy: str, is_write: bool) -> int:
+        cancels = random.random() < self.traffic_faults.cancel_share
         status = 0
         try:
-            async with asyncio.timeout(random.uniform(*PATIENCE) if leaves else TIMEOUT + 1.0):
+            async with asyncio.timeout(random.uniform(*CANCEL_AFTER_S) if cancels else REPLY_TIMEOUT_S + 1.0):
                 line, _, _ = await read_message(reader)
                 status = int(line.split()[1])
         except TimeoutError:
-            self.records.departures.append(Departure(attempt, front, not write, time.monotonic()))
+            self.records.cancellations.append(Cancellation(attempt, proxy, not is_write, time.monotonic()))
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, IndexError, ValueError):
-            self.told.until = 0.0
-        self.records.answers[status] += 1
-        if write and 200 <= status < 300:
-            self.records.confirmed.add(attempt)
-        elif write and status in PROMISES:
-            self.records.promised[attempt] = front
+            self.lookup.expires_at = 0.0
+        self.records.status_counts[status] += 1
+        if is_write and 200 <= status < 300:
+            self.records.confirmed_writes.add(attempt)
+        elif is_write and status in NOT_EXECUTED_STATUSES:
+            self.records.refused_writes[attempt] = proxy
         return status
 
     async def _look_up(self) -> bool:
-        """Hold a good answer of the directory; whether there is one."""
-        if time.monotonic() < self.told.until:
+        """Refresh the cached reply of the directory if it has expired; returns whether there is one."""
+        if time.monotonic() < self.lookup.expires_at:
             return True
         query = urlencode({"name": self.host, "region": self.region, "availability_zone": self.zone})
-        cores = random.sample(list(self.places.directories), len(self.places.directories))
+        cores = random.sample(list(self.addresses.directories), len(self.addresses.directories))
         for core in cores[:3]:
             try:
-                async with asyncio.timeout(CONNECT):
-                    value = await self._directory(self.places.directories[core], query)
-                    named = [self.places.fronts[address] for address in value["addresses"]]
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    value = await self._query_directory(self.addresses.directories[core], query)
+                    proxies = [self.addresses.proxies_by_address[address] for address in value["addresses"]]
             except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError, KeyError):
                 continue
             now = time.monotonic()
-            self.records.lookups.append(Lookup(now, core, self.host, self.region, named))
-            self.told = Told(named, now + float(value["ttl_s"]))
+            self.records.lookups.append(Lookup(now, core, self.host, self.region, proxies))
+            self.lookup = CachedLookup(proxies, now + float(value["ttl_s"]))
             return True
-        return bool(self.told.named)
+        return bool(self.lookup.proxies)
 
-    async def _directory(self, address: str, query: str) -> dict:
+    async def _query_directory(self, address: str, query: str) -> dict:
         reader, writer = await self._connect(address)
         try:
             writer.write(
@@ -196,5 +205,5 @@
     @staticmethod
     async def _connect(address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         host, _, port = address.rpartition(":")
-        async with asyncio.timeout(CONNECT):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             return await asyncio.open_connection(host, int(port))
--- a/fennelpoint/testing/soak/versions.py
+++ b/fennelpoint/testing/soak/versions.py
@@ -1,4 +1,4 @@
-"""Whether fronts go by the newest configuration: each version brings a route, and takes an older one off."""
+"""Checks that proxies use the newest configuration: each version adds a route and removes an older one."""
 
 from __future__ import annotations
 
@@ -13,97 +13,110 @@
 from fennelpoint.testing.system_demo import KEY
 
 HOST = "bookings.example"
-KEPT = 8  # versions in which a route is there: the one that brings it, and the next ones
-ASKED = 12  # newest versions for whose routes clients ask
-NO_ANSWER = (OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, IndexError, ValueError)
-PATIENCE, CONNECT = 3.0, 1.0  # s for an answer, and for a connection
-
-
-def path(version: int) -> str:
-    """The prefix of the route that this version brings."""
+ROUTE_LIFETIME_VERSIONS = 8  # a route exists in the version that adds it and in the next ones
+REQUESTED_VERSIONS = 12  # clients request routes of so many newest versions
+NO_REPLY_ERRORS = (
+    OSError,
+    TimeoutError,
+    asyncio.IncompleteReadError,
+    asyncio.LimitOverrunError,
+    IndexError,
+    ValueError,
+)
+REPLY_TIMEOUT_S, CONNECT_TIMEOUT_S = 3.0, 1.0
+
+
+def route_prefix(version: int) -> str:
+    """The path prefix of the route that this version adds."""
     return f"/at-{version}/"
 
 
-def routes_of(version: int) -> list[str]:
-    """The prefixes of all such routes that are there in a version."""
-    return [path(brought) for brought in range(max(1, version - KEPT + 1), version + 1)]
+def route_prefixes(version: int) -> list[str]:
+    """The path prefixes of all such routes that exist in a version."""
+    return [
+        route_prefix(introduced) for introduced in range(max(1, version - ROUTE_LIFETIME_VERSIONS + 1), version + 1)
+    ]
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a front said to a request for the route of one version, s on this process's steady clock."""
+class VersionReply:
+    """A proxy's reply to a request for the route of one version; times on this process's monotonic clock (s)."""
 
-    front: str
+    proxy: str
     version: int
-    asked: float
-    answered: float
+    sent_at: float
+    received_at: float
     status: int
 
 
 @dataclass
-class Versions:
-    """When versions were sent and acknowledged, and what fronts answered to requests for their routes."""
+class VersionHistory:
+    """When versions were sent and acknowledged, and the proxies' replies to requests for their routes."""
 
-    bound: float  # s after an acknowledgement from which on nobody may go by an older version
-    sent: dict[int, float] = field(default_factory=dict)
-    acked: dict[int, float] = field(default_factory=dict)
-    answers: list[Answer] = field(default_factory=list)
+    propagation_limit_s: float  # after an acknowledgment: no proxy may still use an older version
+    sent_at: dict[int, float] = field(default_factory=dict)  # by version
+    acknowledged_at: dict[int, float] = field(default_factory=dict)  # by version
+    replies: list[VersionReply] = field(default_factory=list)
 
-    def wrong(self) -> list[str]:
-        """A sentence for each answer by a version that was superseded too long ago.
+    def violations(self) -> list[str]:
+        """One sentence for each reply from a version that was superseded too long ago.
 
-        No time of ours that is late can make a good answer look bad: requests are sent after `asked`, and versions
-        before they count as acknowledged.
+        Delays of this process cannot make a correct reply look wrong: `sent_at` of a request is taken before it is
+        sent, and a version counts as acknowledged only after it was.
         """
         return [
-            f"{answer.front} answers {answer.status} for the route of version {answer.version}, which no version of "
+            f"{reply.proxy} answers {reply.status} for the route of version {reply.version}, which no version of "
             f"{min(possible)} to {max(possible)} allows"
-            for answer in self.answers
-            if (possible := self._in_force(answer)) and not any(self._allows(answer, v) for v in possible)
+            for reply in self.replies
+            if (possible := self._possible_versions(reply))
+            and not any(self._is_consistent(reply, v) for v in possible)
         ]
 
-    def _in_force(self, answer: Answer) -> list[int]:
-        """The versions by which a front may answer: none older than the newest that was acknowledged long enough."""
-        oldest = max((v for v, at in self.acked.items() if answer.asked > at + self.bound), default=0)
-        return [v for v, at in self.sent.items() if v >= oldest and at < answer.answered]
+    def _possible_versions(self, reply: VersionReply) -> list[int]:
+        """The versions that a proxy may use: none older than the newest one acknowledged for long enough."""
+        oldest = max(
+            (v for v, at in self.acknowledged_at.items() if reply.sent_at > at + self.propagation_limit_s), default=0
+        )
+        return [v for v, at in self.sent_at.items() if v >= oldest and at < reply.received_at]
 
     @staticmethod
-    def _allows(answer: Answer, version: int) -> bool:
-        there = answer.version <= version < answer.version + KEPT
-        refused, served = answer.status == 404, 200 <= answer.status < 300
-        return not (refused and there) and not (served and not there)
+    def _is_consistent(reply: VersionReply, version: int) -> bool:
+        has_route = reply.version <= version < reply.version + ROUTE_LIFETIME_VERSIONS
+        refused, served = reply.status == 404, 200 <= reply.status < 300
+        return not (refused and has_route) and not (served and not has_route)
 
 
 class VersionClient:
-    """Asks one front for the routes of newer and older versions, on one connection for as long as that holds."""
+    """Requests routes of newer and older versions from one proxy, on one connection as long as it lasts."""
 
     numbers = itertools.count(1)
 
-    def __init__(self, front: str, address: str, versions: Versions, newest: Callable[[], int]) -> None:
-        self.front, self.versions, self.newest = front, versions, newest
+    def __init__(self, proxy: str, address: str, versions: VersionHistory, newest: Callable[[], int]) -> None:
+        self.proxy, self.versions, self.newest = proxy, versions, newest
         self.host, _, port = address.rpartition(":")
         self.port = int(port)
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def run(self, pause: float) -> None:
-        """One request after the other, until it is cancelled."""
+    async def run(self, interval_s: float) -> None:
+        """Send requests one after the other until cancelled."""
         while True:
-            await self._ask()
-            await asyncio.sleep(pause * random.uniform(0.5, 1.5))
+            await self._send_request()
+            await asyncio.sleep(interval_s * random.uniform(0.5, 1.5))
 
-    async def _ask(self) -> None:
-        version = max(1, self.newest() - random.randrange(ASKED))
+    async def _send_request(self) -> None:
+        version = max(1, self.newest() - random.randrange(REQUESTED_VERSIONS))
         try:
             if self.streams is None:
-                async with asyncio.timeout(CONNECT):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     self.streams = await asyncio.open_connection(self.host, self.port)
             reader, writer = self.streams
-            asked = time.monotonic()
+            sent_at = time.monotonic()
             writer.write(
-                f"GET {path(version)}short/ HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: v{next(self.numbers)}\r\n"
+                f"GET {route_prefix(version)}short/ HTTP/1.1\r\nHost: {HOST}\r\n"
+                f"X-Attempt-Id: v{next(self.numbers)}\r\n"
                 f"X-Deadline-Remaining: 2000\r\nAuthorization: Token {KEY}\r\n\r\n".encode()
             )
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
                 line, fields, _ = await read_message(reader)
             status = int(line.split()[1])
         except (
@@ -114,12 +127,12 @@
             IndexError,
             ValueError,
         ):
-            return self._leave()
-        self.versions.answers.append(Answer(self.front, version, asked, time.monotonic(), status))
+            return self._disconnect()
+        self.versions.replies.append(VersionReply(self.proxy, version, sent_at, time.monotonic(), status))
         if fields.get("connection") == "close":
-            self._leave()
+            self._disconnect()
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         if self.streams is not None:
             self.streams[1].transport.abort()
             self.streams = None
