--- a/fennelpoint/__main__.py
+++ b/fennelpoint/__main__.py
@@ -22,7 +22,7 @@
 from fennelpoint.file_descriptors import LEAST, plan
 from fennelpoint.lifecycle import Event, LifeCycle
 from fennelpoint.net.backends import Backends
-from fennelpoint.net.controller_host import Host
+from fennelpoint.net.controller_host import ControllerHost
 from fennelpoint.net.counter import Counter
 from fennelpoint.net.discovery import Address, Discovery, Listing, parse_address, parse_list
 from fennelpoint.net.graceful_shutdown import Leaving
@@ -158,7 +158,7 @@
         decider = None
         if config.cells is not None:
             from fennelpoint.cells.cell_controller import CelledController as decider
-        self.host = Host(loop, settings, config.seed, self.backends, self.counter, self.budget, decider)
+        self.host = ControllerHost(loop, settings, config.seed, self.backends, self.counter, self.budget, decider)
         self.discovery = Discovery(loop, config.discovery, settings, self.follow)
         self.listed = False     # there is a list to go by
         self.coming: Discovery | None = None    # a new discovery that has not told its list yet
@@ -166,23 +166,23 @@
         self.server = Server(loop, self.host, room, self.life)
         self.look = Leaving(loop, self.life, self.server, self.host, self._end).look
         self.parts = make_parts(self)   # those that are on, by name
-        self.host.watchers = [part.follow for part in self.parts.values()]
+        self.host.list_observers = [part.follow for part in self.parts.values()]
 
     def word(self) -> tuple[str, bool]:
         """How it stands, and whether the counter that quotas are kept by is heard."""
         state = "up" if self.life.ready else "starting" if self.life.keeps else "draining"
-        return state, self.counter is None or self.counter.answers
+        return state, self.counter is None or self.counter.is_available
 
     async def start(self) -> None:
         if (known := self.config.known) is not None:
             known.roster.kind = api.RosterKind.CACHED
-            self.discovery.take(known)
+            self.discovery.apply(known)
         if not self.held_back:
             await self.server.listen(self.config.inherited or self.config.listen)
         for part in self.parts.values():
             await part.start()
         self.discovery.start()
-        self.loop.call_later(0.0 if self.discovery.late else LIST_WAIT, self._go_by_known)
+        self.loop.call_later(0.0 if self.discovery.defers_first_request else LIST_WAIT, self._go_by_known)
         self.loop.call_later(SWEEP, self._sweep)
 
     @property
@@ -218,7 +218,7 @@
             # Guards against a gap in the watch: the old one goes on until the new one's list is here.  The
             # new one has revisions of its own, so it is asked for the whole of it.
             self.coming = Discovery(self.loop, config.discovery, self.config.settings, self._go_over)
-            self.coming.known = self.discovery.known
+            self.coming.known_addresses = self.discovery.known_addresses
             self.coming.start()
 
     def _go_over(self, roster: api.Roster, addresses: dict[str, Address]) -> None:
@@ -240,7 +240,7 @@
 
     def _go_by_known(self) -> None:
         """A restart while discovery is down goes on with the list that was known."""
-        if self.discovery.known:
+        if self.discovery.known_addresses:
             self._go_by_list()
 
     def _sweep(self) -> None:
--- a/fennelpoint/component.py
+++ b/fennelpoint/component.py
@@ -15,10 +15,10 @@
 
     loop: asyncio.AbstractEventLoop
     config: Any             # what the ingress was started with, checked
-    host: Any               # drives the module: `post`, `controller`, `gate`, `cells`
+    host: Any               # drives the module: `post`, `controller`, `may_send`, `cells`
     server: Any             # the client side: `listen`, `reader`, `room`, `connections`
     backends: Any           # the upstream pools
-    discovery: Any          # the list of backends: `known`
+    discovery: Any          # the list of backends: `known_addresses`
     life: LifeCycle
     parts: dict[str, Part]  # those that are on, by name
     look: Callable[[], None]    # look again whether it may end
--- a/fennelpoint/components.py
+++ b/fennelpoint/components.py
@@ -20,7 +20,7 @@
     from fennelpoint.net.admin_socket import Door
 
     def stand() -> str:
-        return f": {len(ingress.server.connections)} connections, {ingress.host.waiting} requests open"
+        return f": {len(ingress.server.connections)} connections, {ingress.host.unanswered_count} requests open"
 
     return Door(ingress.loop, config.door, ingress.life, config.name, plan(config.sockets).callers,
                 ingress.look, stand)
--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -94,7 +94,7 @@
         self.last_renewed, self.trouble, self.refused = 0.0, "", ""
         self.cells = ingress.host.cells
         ingress.life.handle(Event.BAR, time.monotonic())
-        ingress.host.gate = self.may_send
+        ingress.host.may_send = self.may_send
         ingress.host.post(api.Barred(True))
         self.peer_calls: dict[str, Callable] = {
             "peer": self._say, "content": self._content, "tell": self._told, "status": self._status,
@@ -540,7 +540,7 @@
                 "static_left": licence.static_until - now, "source": licence.source, "trouble": self.trouble,
                 "refused": self.refused, "foreign": licence.foreign, "reason": licence.reason(now),
                 "renewed": now - self.last_renewed if self.last_renewed else -1.0, "mixed": licence.mixed,
-                "roster": len(self.ingress.discovery.known), "figures_mixed": self.mixed}
+                "roster": len(self.ingress.discovery.known_addresses), "figures_mixed": self.mixed}
 
     def _spans(self, call: dict) -> dict:
         return {"spans": [s.value() for s in (*self.before, *self.book.spans.values())]}
--- a/fennelpoint/net/backends.py
+++ b/fennelpoint/net/backends.py
@@ -1,7 +1,7 @@
-"""Upstream connections: pools, attempts, probes, and what each exchange's end proves.
+"""Upstream connections: pools, attempts, probes, and what each outcome of an exchange proves.
 
-An exchange is one request on one connection and its whole answer.  It ends exactly once, in one of the
-outcomes of the protocol's table, and is never sent again from here.
+An exchange is one request on one connection and its whole response.  It ends exactly once, with one of the outcomes
+(`interface.Status`) of the protocol, and this module never retries it.
 """
 
 from __future__ import annotations
@@ -18,81 +18,91 @@
 
 import httptools
 
-from fennelpoint.body_buffering import COMMIT, MOST, STOPPED, WHOLE, Budget, Upload
+from fennelpoint.body_buffering import (
+    BODY_STALL_TIMEOUT_S,
+    COMMIT_BYTES,
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BYTES,
+    Budget,
+    Upload,
+)
 from fennelpoint.connecting import connect
 from fennelpoint.interface import BackendState, Roster, RosterKind, Status
 from fennelpoint.net.flow_control import Paced
 from fennelpoint.rate_limited_log import complain
 
-MOST_RECEIVED = 2 * WHOLE   # bytes of a whole answer with its head and framing
-NOBODYS = "is nobody's any more"
-STALLED = 0.5               # s without a byte in the middle of an answer: the rest won't come
-OWN_SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
-CONNECT_TIMEOUT = 0.25      # s, where the settings tell none
-IDLE_SHARE, IDLE_MOST = 0.5, 30.0  # of the settings' idle time: well before the backend closes; s at most
+MAX_RECEIVED_BYTES = 2 * MAX_BUFFERED_BYTES     # of a buffered response with its head and framing
+NO_RECEIVER = "has no receiver any more"
+STALL_TIMEOUT_S = 0.5       # without a byte within a response, after which the rest is not expected any more
+LOCAL_SHORTAGE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+DEFAULT_CONNECT_TIMEOUT_S = 0.25    # if the settings have none
+# Idle connections are closed after this fraction of the backend's idle timeout, well before the backend closes them.
+IDLE_TIMEOUT_FRACTION, MAX_IDLE_S = 0.5, 30.0
 HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate",
                         b"te", b"trailer", b"transfer-encoding", b"upgrade", b"content-length"))
 
 
 @dataclass(slots=True)
-class Answer:
-    """A backend's whole answer."""
+class Response:
+    """A backend's response: whole, or the head of one whose body is streamed."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes
-    length: int | None = None   # of one that is passed on as it comes, where it is told
+    content_length: int | None = None   # of a streamed body, if the backend declares it
 
 
-class Sink(Protocol):
-    """Who takes the bytes of an answer as they come."""
+class BodyReceiver(Protocol):
+    """Receives the body of a streamed response as it arrives."""
 
-    def more(self, data: bytes) -> None: ...
+    def write_body(self, data: bytes) -> None: ...
 
 
 class Exchange:
-    """One request to one backend, from the wish to send it until its outcome."""
-
-    __slots__ = ("render", "done", "begun", "upload", "taken", "may", "connection", "connecting", "ended", "txn",
-                 "once", "wrote")
-
-    def __init__(self, render: Callable[[], bytes], done: Callable[[Status, Answer | None], None],
-                 begun: Callable[[Answer, UpstreamConnection], Sink | None] = lambda answer, source: None,
-                 upload: Upload | None = None, taken: Callable[[], None] = lambda: None) -> None:
-        self.render = render    # the bytes to send, made when they can be written
-        self.done = done        # told the outcome, once
-        self.begun = begun      # told when a large answer begins to come; who takes it, or nobody
-        self.upload = upload    # the request's body, where that is passed on as it comes
-        self.taken = taken      # told when some of that has been written
-        self.may: Callable[[], bool] | None = None  # whether it may still be sent; none: always
-        self.txn = b""          # its id, for a pool that checks whose an answer is
-        self.once = False       # it may run at most once
-        self.wrote = False      # some of it has been written to the backend
+    """One request to one backend, from the decision to send it until its outcome."""
+
+    __slots__ = ("render", "on_end", "on_stream_start", "upload", "on_body_written", "may_send", "connection",
+                 "connect_task", "ended", "request_id", "at_most_once", "has_written")
+
+    def __init__(self, render: Callable[[], bytes], on_end: Callable[[Status, Response | None], None],
+                 on_stream_start: Callable[[Response, UpstreamConnection], BodyReceiver | None]
+                 = lambda response, source: None,
+                 upload: Upload | None = None, on_body_written: Callable[[], None] = lambda: None) -> None:
+        self.render = render    # returns the bytes to send, called at the moment when they can be written
+        self.on_end = on_end    # called once, with the outcome
+        self.on_stream_start = on_stream_start  # called with a streamed response; returns its receiver, if any
+        self.upload = upload    # the request body, if it is streamed
+        self.on_body_written = on_body_written  # called when a piece of the upload has been written
+        self.may_send: Callable[[], bool] | None = None     # whether it may still be sent; None: always
+        self.request_id = b""   # for a pool that checks which request a response belongs to
+        self.at_most_once = False   # the request must not run twice
+        self.has_written = False    # some of the request has been written to the backend
         self.connection: UpstreamConnection | None = None
-        self.connecting: asyncio.Task | None = None
+        self.connect_task: asyncio.Task | None = None
         self.ended = False
 
-    def end(self, status: Status, answer: Answer | None = None) -> None:
+    def end(self, status: Status, response: Response | None = None) -> None:
+        """Report the outcome, unless the exchange has ended already."""
         if not self.ended:
             self.ended = True
-            self.connection = self.connecting = None
-            self.done(status, answer)
+            self.connection = self.connect_task = None
+            self.on_end(status, response)
 
-    def push(self) -> None:
-        """There is more of the request's body."""
+    def write_body(self) -> None:
+        """Write what has been added to the upload, if there is a connection yet."""
         if self.connection is not None:
-            self.connection.push()
+            self.connection.write_body()
 
     def give_up(self, status: Status) -> None:
-        """Stop waiting: the connection is closed, so that the backend sees it and no late answer is read.
+        """Stop waiting: close the connection, so that the backend notices and no late response is read.
 
-        What was not written whole can't have run, whatever made us stop; that is no fault of the backend's where
-        the wish to send it has ended.
+        A request that was not written completely cannot have run, whatever the reason for stopping; and if it is
+        cancelled, that is no failure of the backend.
         """
-        connection, connecting = self.connection, self.connecting
-        if connecting is not None:
-            connecting.cancel()
-        if connection is None or not connection.written:
+        connection, connect_task = self.connection, self.connect_task
+        if connect_task is not None:
+            connect_task.cancel()
+        if connection is None or not connection.is_request_written:
             status = Status.MOOT if status is Status.CANCELLED else Status.CONNECT_FAILED
         if connection is not None:
             connection.exchange = None
@@ -102,255 +112,265 @@
 
 @dataclass(slots=True, eq=False)
 class Upstream:
-    """One start of one backend at one address, as discovery told it; its connections belong to it."""
+    """One start of one backend at one address, as discovery announced it, with its own connections."""
 
     host: str
     port: int
-    started: float
+    started_at: float
     state: BackendState
     idle: list[UpstreamConnection] = field(default_factory=list)  # the most recently used last
-    retired: bool = False   # replaced by a newer start or address: nothing is to be reused
+    retired: bool = False   # replaced by a newer start or address: its connections are not reused
 
     @property
-    def open(self) -> bool:
+    def is_usable(self) -> bool:
         return self.state is BackendState.READY and not self.retired
 
 
 class UpstreamConnection(Paced):
-    """A kept-alive connection that carries one exchange at a time."""
+    """A persistent connection that carries one exchange at a time."""
 
-    __slots__ = ("pool", "upstream", "transport", "exchange", "first", "parser", "flushed", "idle_since",
-                 "poll", "status", "headers", "body", "size", "complete", "excess", "keep", "closed", "heard",
-                 "doubt", "sink", "length", "flows", "open_end", "got", "in_body", "paused", "pushed_at", "until",
-                 "last_txn", "nameless",
+    __slots__ = ("pool", "upstream", "transport", "exchange", "first_exchange", "parser", "is_flushed", "idle_since",
+                 "poller", "status", "headers", "body", "received_bytes", "is_complete", "has_excess", "keep_alive",
+                 "closed", "last_received_at", "rejection", "receiver", "content_length", "is_streamed",
+                 "ends_at_close", "body_bytes", "in_body", "is_paused", "body_written_at", "reusable_until",
+                 "last_request_id", "last_lacked_id",
                  "__weakref__")
 
-    def __init__(self, pool: Backends, upstream: Upstream, first: Exchange) -> None:
+    def __init__(self, pool: Backends, upstream: Upstream, first_exchange: Exchange) -> None:
         super().__init__(pool.budget)
-        self.pool, self.upstream, self.first = pool, upstream, first
-        self.heard, self.doubt = 0.0, ""
+        self.pool, self.upstream, self.first_exchange = pool, upstream, first_exchange
+        self.last_received_at, self.rejection = 0.0, ""     # rejection: why the response cannot be used
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.flushed, self.closed, self.idle_since = True, False, 0.0
-        self.until = inf        # when the backend said that it closes an idle connection, less a margin
-        self.sink: Sink | None = None   # who takes an answer that is passed on as it comes
-        self.paused = False     # it takes no more just now
-        self.pushed_at = 0.0    # when the last of a body was written that is passed on as it comes
-        self.last_txn = b""     # whose answer came last
-        self.nameless = False   # that bore no id, so that a copy of it would pass for another's
+        self.is_flushed, self.closed, self.idle_since = True, False, 0.0
+        self.reusable_until = inf   # when the backend announced that it closes the idle connection, less a margin
+        self.receiver: BodyReceiver | None = None   # of a streamed response
+        self.is_paused = False      # the receiver takes no more at present
+        self.body_written_at = 0.0  # when a piece of an upload was last written
+        self.last_request_id = b""  # of the request that the last response answered
+        self.last_lacked_id = False     # that response had no id, so a copy of it would pass for one to any request
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        # With no room in the buffer, pause_writing and resume_writing tell whether all is written.
+        # With a high-water mark of 0, pause_writing and resume_writing tell whether everything is written.
         transport.set_write_buffer_limits(high=0)
-        self.poll = select.poll()
-        self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
+        self.poller = select.poll()
+        self.poller.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
         self.pool.all.add(self)
-        # Guards the rule on drains: the backend may have begun to drain while the connection came up.
-        first, self.first = self.first, None
-        if first.ended or not self.upstream.open:
+        # Guards the rule on drains: the backend may have begun to drain while the connection was established.
+        first_exchange, self.first_exchange = self.first_exchange, None
+        if first_exchange.ended or not self.upstream.is_usable:
             self.close()
-            first.end(Status.CONNECT_FAILED)
+            first_exchange.end(Status.CONNECT_FAILED)
         else:
-            self.start(first)
+            self.start(first_exchange)
 
     def start(self, exchange: Exchange) -> None:
-        # Right before the write: what waited for this connection may have waited while the process was stopped.
-        if exchange.may is not None and not exchange.may():
+        """Send the exchange's request, unless it may not be sent any more."""
+        # Checked right before the write: the process may have been stopped while the connection was established.
+        if exchange.may_send is not None and not exchange.may_send():
             self.close()
             return exchange.end(Status.MOOT)
-        self.exchange, exchange.connection, exchange.connecting = exchange, self, None
+        self.exchange, exchange.connection, exchange.connect_task = exchange, self, None
         self._reset()
-        self.flushed = True     # unless pause_writing says that some is left
-        exchange.wrote = True
+        self.is_flushed = True      # unless pause_writing reports that some is left
+        exchange.has_written = True
         self.transport.write(exchange.render())
         if exchange.upload is not None:
-            self.push()
+            self.write_body()
 
     @property
-    def written(self) -> bool:
-        """Whether the request has left us whole; one that hasn't can't have run."""
+    def is_request_written(self) -> bool:
+        """Whether the whole request has been written; one that has not cannot have run."""
         exchange = self.exchange
-        return self.flushed and (exchange is None or exchange.upload is None or exchange.upload.ended)
+        return self.is_flushed and (exchange is None or exchange.upload is None or exchange.upload.is_sent)
 
-    def push(self) -> None:
-        """Write what there is of a body that is passed on as it comes, if the backend takes it."""
+    def write_body(self) -> None:
+        """Write the pending bytes of the upload, if the backend takes them."""
         upload = self.exchange.upload
-        if self.flushed and upload.waits:
-            if self.exchange.may is not None and not self.exchange.may():
+        if self.is_flushed and upload.has_pending:
+            if self.exchange.may_send is not None and not self.exchange.may_send():
                 return self.exchange.give_up(Status.CANCELLED)
-            self.pushed_at = time.monotonic()
-            self.transport.write(upload.take())
-            self.exchange.taken()
+            self.body_written_at = time.monotonic()
+            self.transport.write(upload.take_pending())
+            self.exchange.on_body_written()
 
     def _reset(self) -> None:
-        self.status, self.headers, self.body, self.size = 0, [], [], 0
-        self.complete = self.excess = self.keep = False
-        self.heard, self.doubt = 0.0, ""
-        self.flows = self.open_end = self.in_body = False   # sink, length and got go with these
+        self.status, self.headers, self.body, self.received_bytes = 0, [], [], 0
+        self.is_complete = self.has_excess = self.keep_alive = False
+        self.last_received_at, self.rejection = 0.0, ""
+        # `receiver`, `content_length` and `body_bytes` are valid only with these.
+        self.is_streamed = self.ends_at_close = self.in_body = False
 
     def stale(self) -> bool:
-        """Whether the peer has closed its side, or said something unasked, since the last answer."""
-        return self.closed or self.transport.is_closing() or bool(self.poll.poll(0))
+        """Whether the backend has closed its side, or sent anything unrequested, since the last response."""
+        return self.closed or self.transport.is_closing() or bool(self.poller.poll(0))
 
     def pause_writing(self) -> None:
-        self.flushed = False
+        self.is_flushed = False
 
     def resume_writing(self) -> None:
-        self.flushed = True
+        self.is_flushed = True
         if self.exchange is not None and self.exchange.upload is not None:
-            self.push()
+            self.write_body()
 
     def pause(self) -> None:
-        """Who takes the answer has enough for now."""
-        if not self.paused and not self.closed:
-            self.paused = True
+        """Stop reading: the receiver's buffer is full."""
+        if not self.is_paused and not self.closed:
+            self.is_paused = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        if self.paused and not self.closed:
-            self.paused, self.heard = False, time.monotonic()
+        if self.is_paused and not self.closed:
+            self.is_paused, self.last_received_at = False, time.monotonic()
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
         if self.exchange is None:
-            return self.close()     # unasked: an answer to nothing
-        if self.sink is None:
-            self.size += len(data)
+            return self.close()     # unrequested: there is no request that it could answer
+        if self.receiver is None:
+            self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not self.complete:
-                return self._spoilt(f"can't be read ({error})")
-            self.excess = True
-        if self.complete and not self.doubt:
-            self._answered()
-        elif self.doubt == NOBODYS:
+            if not self.is_complete:
+                return self._fail(f"cannot be parsed ({error})")
+            self.has_excess = True
+        if self.is_complete and not self.rejection:
+            self._finish()
+        elif self.rejection == NO_RECEIVER:
             self.exchange.give_up(Status.CANCELLED)
-        elif self.doubt:
-            self._spoilt(self.doubt)
-        elif self.sink is None and self.size > MOST_RECEIVED:
-            self._spoilt("is too large")
+        elif self.rejection:
+            self._fail(self.rejection)
+        elif self.receiver is None and self.received_bytes > MAX_RECEIVED_BYTES:
+            self._fail("is too large")
         else:
-            self.heard = time.monotonic()
+            self.last_received_at = time.monotonic()
 
-    # What the parser reads.
+    # Parser callbacks
 
     def on_message_begin(self) -> None:
-        self.excess = self.excess or self.complete
+        self.has_excess = self.has_excess or self.is_complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not (self.complete or self.in_body):     # else of a trailer, or of what is not asked for
+        if not (self.is_complete or self.in_body):  # else a trailer, or part of an unrequested response
             self.headers.append((name.lower(), value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        if self.complete:
+        if self.is_complete:
             return
         self.status = self.parser.get_status_code()
         if self.status == 200:
-            length = next((value for name, value in self.headers if name == b"content-length"), None)
-            self.length = None if length is None else int(length)
-            if length is not None:
-                if self.length > MOST:  # guards the wait: an answer of gigabytes is not waited for
-                    self.doubt = "is too large"
+            content_length = next((value for name, value in self.headers if name == b"content-length"), None)
+            self.content_length = None if content_length is None else int(content_length)
+            if content_length is not None:
+                if self.content_length > MAX_BODY_BYTES:    # rejected now, as gigabytes take too long to arrive
+                    self.rejection = "is too large"
             else:
-                self.open_end = not any(name == b"transfer-encoding" for name, _ in self.headers)
-            self.flows, self.got = length is None or self.length > WHOLE, 0
+                self.ends_at_close = not any(name == b"transfer-encoding" for name, _ in self.headers)
+            self.is_streamed, self.body_bytes = (
+                content_length is None or self.content_length > MAX_BUFFERED_BYTES), 0
         self.in_body = self.status >= 200
 
     def on_body(self, body: bytes) -> None:
-        if self.complete or self.doubt:
+        if self.is_complete or self.rejection:
             return
-        if self.sink is None:
+        if self.receiver is None:
             self.body.append(body)
-        if self.flows:
-            self._flow(body)
-
-    def _flow(self, body: bytes) -> None:
-        self.got += len(body)
-        if self.got > MOST:
-            self.doubt = "has no end"
-        elif self.sink is not None:
-            self.sink.more(body)
-        elif self.got >= COMMIT and self.length != self.got:
-            self._begin()
-
-    def _begin(self) -> None:
-        """A large answer: from here on it goes out as it comes, and can't be had from another any more."""
+        if self.is_streamed:
+            self._stream(body)
+
+    def _stream(self, body: bytes) -> None:
+        self.body_bytes += len(body)
+        if self.body_bytes > MAX_BODY_BYTES:
+            self.rejection = "exceeds the maximum body size"
+        elif self.receiver is not None:
+            self.receiver.write_body(body)
+        elif self.body_bytes >= COMMIT_BYTES and self.content_length != self.body_bytes:
+            self._start_streaming()
+
+    def _start_streaming(self) -> None:
+        """Begin to forward a large response; from here on the request cannot be retried at another backend."""
         if self.pool.judge(self.exchange, self.status, self.headers) is not Status.OK:
-            self.doubt = "is not of this request"
+            self.rejection = "does not belong to this request"
             return
-        first, self.body = b"".join(self.body), []
-        self.sink = self.exchange.begun(Answer(self.status, self.headers, b"", self.length), self)
-        if self.sink is None:
-            self.doubt = NOBODYS
+        buffered, self.body = b"".join(self.body), []
+        self.receiver = self.exchange.on_stream_start(Response(self.status, self.headers, b"", self.content_length),
+                                                      self)
+        if self.receiver is None:
+            self.rejection = NO_RECEIVER
         else:
             self.bound_reads(True)
-            self.sink.more(first)
+            self.receiver.write_body(buffered)
 
     def on_message_complete(self) -> None:
-        if self.complete:
+        if self.is_complete:
             return
         if 100 <= self.status < 200:
-            self.headers.clear()    # an interim answer; the one that counts follows
+            self.headers.clear()    # an interim response; the final one follows
             self.in_body = False
         else:
-            # Asked here, as the parser has forgotten it once it returns: guards the reuse of connections.
-            self.complete, self.keep = True, self.parser.should_keep_alive()
+            # Read here, as the parser forgets it when this returns: otherwise no connection would be reused.
+            self.is_complete, self.keep_alive = True, self.parser.should_keep_alive()
 
-    def _answered(self) -> None:
-        exchange, body, written = self.exchange, b"".join(self.body), self.written
+    def _finish(self) -> None:
+        """End the exchange with its complete response; keep the connection if it can be reused."""
+        exchange, body, is_request_written = self.exchange, b"".join(self.body), self.is_request_written
         status = self.pool.judge(exchange, self.status, self.headers)
         if status is None:
-            return self._spoilt("is not of this request")
-        answer = Answer(self.status, self.headers, body)
-        self.last_txn, self.nameless = exchange.txn, not self.pool.names(exchange, self.headers)
-        self.exchange = self.sink = None
-        if self.paused:
+            return self._fail("does not belong to this request")
+        response = Response(self.status, self.headers, body)
+        self.last_request_id, self.last_lacked_id = exchange.request_id, not self.pool.has_id(exchange, self.headers)
+        self.exchange = self.receiver = None
+        if self.is_paused:
             self.resume()
         if self.bounded:
             self.bound_reads(False)
-        if self.excess or not written or not self.keep or not self.upstream.open:
+        if self.has_excess or not is_request_written or not self.keep_alive or not self.upstream.is_usable:
             self.close()
         else:
             self.idle_since = time.monotonic()
-            self.until = self.idle_since + self.pool.keeps_for(self.headers)
+            self.reusable_until = self.idle_since + self.pool.keep_alive_s(self.headers)
             self.upstream.idle.append(self)
-        exchange.end(status, answer)
+        exchange.end(status, response)
 
-    def _spoilt(self, what: str) -> None:
-        """An answer that is none: the request may have run, and the connection is of no further use."""
-        complain("upstream", "an answer of %s:%d %s", self.upstream.host, self.upstream.port, what)
-        exchange, self.exchange, self.sink = self.exchange, None, None
+    def _fail(self, reason: str) -> None:
+        """End the exchange without a usable response: the request may have run, and the connection is closed."""
+        complain("upstream", "a response from %s:%d %s", self.upstream.host, self.upstream.port, reason)
+        exchange, self.exchange, self.receiver = self.exchange, None, None
         self.close()
         exchange.end(Status.ERROR)
 
-    def stalled(self, now: float) -> None:
-        """Guards the request's time: a length over what was sent would hold it until its deadline."""
-        most = STALLED if self.sink is None else STOPPED
-        if self.exchange is not None and 0.0 < self.heard < now - most and not self.paused:
-            self._spoilt("does not come whole")
-        elif not (self.flushed or self.exchange is None or self.exchange.upload is None) and (
-                self.pushed_at < now - STOPPED):
-            self.exchange.give_up(Status.TIMEOUT)   # it takes no more of a body
+    def check_stall(self, now: float) -> None:
+        """End an exchange that makes no progress.
+
+        Otherwise a Content-Length above what is sent would hold the request until its deadline.
+        """
+        timeout_s = STALL_TIMEOUT_S if self.receiver is None else BODY_STALL_TIMEOUT_S
+        if self.exchange is not None and 0.0 < self.last_received_at < now - timeout_s and not self.is_paused:
+            self._fail("is incomplete")
+        elif not (self.is_flushed or self.exchange is None or self.exchange.upload is None) and (
+                self.body_written_at < now - BODY_STALL_TIMEOUT_S):
+            self.exchange.give_up(Status.TIMEOUT)   # the backend does not read the request body
 
     def eof_received(self) -> None:
-        """A half-closed connection takes no more requests; returning nothing closes our side too.
+        """End a response that has no other end; as this returns nothing, the loop closes our side, too.
 
-        It is the end of an answer that tells no other.
+        A half-closed connection carries no further requests.
         """
-        if self.exchange is not None and self.open_end and not self.doubt:
-            self.complete = True
-            self._answered()
+        if self.exchange is not None and self.ends_at_close and not self.rejection:
+            self.is_complete = True
+            self._finish()
 
     def connection_lost(self, error: Exception | None) -> None:
-        written, exchange, self.exchange, self.sink = self.written, self.exchange, None, None
+        is_request_written, exchange, self.exchange, self.receiver = (
+            self.is_request_written, self.exchange, None, None)
         self.close()
         self.pool.all.discard(self)
-        self.parser = self.poll = None  # parser and protocol hold each other, and collections are rare
+        self.parser = self.poller = None  # parser and protocol refer to each other, and collections are rare
         if exchange is not None:
-            exchange.end(Status.RESET if written else Status.CONNECT_FAILED)
+            exchange.end(Status.RESET if is_request_written else Status.CONNECT_FAILED)
 
     def close(self) -> None:
         if not self.closed:
@@ -361,36 +381,37 @@
 
 
 class Backends:
-    """The connections to every backend that discovery has named, within one bound."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop, most: int, connect_timeout: float,
-                 idle_close: float, budget: Budget) -> None:
-        self.loop, self.most, self.budget = loop, most, budget
-        self.connect_timeout = connect_timeout or CONNECT_TIMEOUT
-        self.idle_most = min(IDLE_MOST, idle_close * IDLE_SHARE) if idle_close else IDLE_MOST
+    """The connection pools of all backends that discovery has named, with a common limit on connections."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, max_connections: int, connect_timeout_s: float,
+                 idle_timeout_s: float, budget: Budget) -> None:
+        """`idle_timeout_s` is the backends' own; 0 if unknown.  A `connect_timeout_s` of 0 means the default."""
+        self.loop, self.max_connections, self.budget = loop, max_connections, budget
+        self.connect_timeout_s = connect_timeout_s or DEFAULT_CONNECT_TIMEOUT_S
+        self.max_idle_s = min(MAX_IDLE_S, idle_timeout_s * IDLE_TIMEOUT_FRACTION) if idle_timeout_s else MAX_IDLE_S
         self.upstreams: dict[str, Upstream] = {}
         self.all: set[UpstreamConnection] = set()
-        self.connecting: dict[asyncio.Task, Exchange] = {}
+        self.connect_tasks: dict[asyncio.Task, Exchange] = {}
 
     def judge(self, exchange: Exchange, status: int, headers: list[tuple[bytes, bytes]]) -> Status | None:
-        """What a whole answer proves; none where it is no answer to this request."""
+        """Return the outcome that a whole response proves; None if it is no response to this request."""
         turned_away = status in (503, 504) and (b"x-turned-away", b"1") in headers
         return Status.OK if status == 200 else Status.FULL if turned_away else Status.ERROR
 
-    def names(self, exchange: Exchange, headers: list[tuple[bytes, bytes]]) -> bool:
-        """Whether an answer bears its request's id."""
+    def has_id(self, exchange: Exchange, headers: list[tuple[bytes, bytes]]) -> bool:
+        """Whether a response carries the id of its request."""
         return True
 
-    def tells(self, exchange: Exchange, connection: UpstreamConnection) -> bool:
-        """Whether an answer on this connection would be known as that request's."""
+    def can_match(self, exchange: Exchange, connection: UpstreamConnection) -> bool:
+        """Whether a response on this connection could be attributed to this request for certain."""
         return True
 
-    def keeps_for(self, headers: list[tuple[bytes, bytes]]) -> float:
-        """Seconds that the connection may stand idle, by the answer."""
+    def keep_alive_s(self, headers: list[tuple[bytes, bytes]]) -> float:
+        """Return the seconds for which the connection may stay idle, according to the response."""
         return inf
 
     def follow(self, roster: Roster, addresses: dict[str, tuple[str, int]]) -> None:
-        """Take in what discovery told: a new start or address gets connections of its own."""
+        """Apply a list from discovery: a new start or address of a backend gets connections of its own."""
         if roster.kind is not RosterKind.CHANGES:
             named = {e.backend for e in roster.entries}
             for key in [k for k in self.upstreams if k not in named]:
@@ -402,7 +423,7 @@
                     self._retire(self.upstreams.pop(entry.backend))
                 continue
             host, port = addresses[entry.backend]
-            if old is not None and (old.host, old.port, old.started) == (host, port, entry.started_at):
+            if old is not None and (old.host, old.port, old.started_at) == (host, port, entry.started_at):
                 old.state = entry.state
                 if entry.state is not BackendState.READY:
                     self.close_idle(entry.backend)
@@ -417,54 +438,55 @@
             connection.close()
 
     def begin(self, exchange: Exchange, backend: str) -> None:
-        """Send an exchange on the connection used last, or on a new one."""
+        """Send an exchange on the most recently used idle connection, or on a new one."""
         upstream = self.upstreams.get(backend)
-        if upstream is None or not upstream.open:
+        if upstream is None or not upstream.is_usable:
             return exchange.end(Status.CONNECT_FAILED)
-        oldest = time.monotonic() - self.idle_most
-        passed_over: UpstreamConnection | None = None
+        idle_cutoff = time.monotonic() - self.max_idle_s
+        unsuitable: UpstreamConnection | None = None
         for connection in upstream.idle[::-1]:
-            if connection.idle_since < oldest or time.monotonic() >= connection.until or connection.stale():
+            if connection.idle_since < idle_cutoff or time.monotonic() >= connection.reusable_until or (
+                    connection.stale()):
                 connection.close()
-            elif self.tells(exchange, connection):
+            elif self.can_match(exchange, connection):
                 upstream.idle.remove(connection)
                 return connection.start(exchange)
             else:
-                passed_over = connection
-        if passed_over is not None:
-            passed_over.close()     # a new one takes its place: the backend counts connections
-        if self.open >= self.most and not self._evict():
-            # Guards the backend's name: the shortage is our own, so this must not look like its fault.
-            complain("upstream", "all %d connections are in use", self.most)
+                unsuitable = connection
+        if unsuitable is not None:
+            unsuitable.close()      # a new one replaces it, as the backend limits its number of connections
+        if self.open_count >= self.max_connections and not self._evict():
+            # The shortage is on this side, so it must not count as a failure of the backend.
+            complain("upstream", "all %d connections are in use", self.max_connections)
             return exchange.end(Status.MOOT)
         self._connect(upstream, exchange)
 
     def _connect(self, upstream: Upstream, exchange: Exchange) -> None:
         task = self.loop.create_task(connect(
             self.loop, lambda: UpstreamConnection(self, upstream, exchange), upstream.host, upstream.port))
-        exchange.connecting, self.connecting[task] = task, exchange
-        timer = self.loop.call_later(self.connect_timeout, task.cancel)
+        exchange.connect_task, self.connect_tasks[task] = task, exchange
+        timer = self.loop.call_later(self.connect_timeout_s, task.cancel)
 
         def connected(task: asyncio.Task) -> None:
             timer.cancel()
-            self.connecting.pop(task, None)
+            self.connect_tasks.pop(task, None)
             if task.cancelled() or (error := task.exception()) is not None:
-                # Running out of descriptors is an OSError like a refusal, but no fault of the backend.
-                short = not task.cancelled() and getattr(error, "errno", None) in OWN_SHORTAGE
+                # Running out of descriptors is an OSError like a refusal, but no failure of the backend.
+                is_local = not task.cancelled() and getattr(error, "errno", None) in LOCAL_SHORTAGE_ERRNOS
                 if not task.cancelled() and not isinstance(error, OSError):
                     complain("upstream", "connecting failed: %r", error)
                 if exchange.connection is None:
-                    exchange.end(Status.MOOT if short else Status.CONNECT_FAILED)
+                    exchange.end(Status.MOOT if is_local else Status.CONNECT_FAILED)
 
         task.add_done_callback(connected)
 
     @property
-    def open(self) -> int:
-        """Connections that are open or come up."""
-        return len(self.all) + len(self.connecting)
+    def open_count(self) -> int:
+        """Number of connections that are open or being established."""
+        return len(self.all) + len(self.connect_tasks)
 
     def _evict(self) -> bool:
-        """Close the connection that has been idle for longest, to make room for another backend's."""
+        """Close the connection that has been idle longest, in favour of one to another backend."""
         idle = [u.idle[0] for u in self.upstreams.values() if u.idle]
         if idle:
             min(idle, key=lambda connection: connection.idle_since).close()
@@ -476,28 +498,32 @@
                 connection.close()
 
     def sweep(self) -> None:
-        """Drop what has been idle for long, before the backend does while a request is on its way."""
+        """Close connections that have been idle for long, before the backend does so under a request in transit.
+
+        Also ends exchanges that have stalled.
+        """
         now = time.monotonic()
-        oldest = now - self.idle_most
+        idle_cutoff = now - self.max_idle_s
         for upstream in self.upstreams.values():
-            while upstream.idle and (upstream.idle[0].idle_since < oldest or upstream.idle[0].until < now):
+            while upstream.idle and (
+                    upstream.idle[0].idle_since < idle_cutoff or upstream.idle[0].reusable_until < now):
                 upstream.idle[0].close()
         for connection in list(self.all):
-            connection.stalled(now)
+            connection.check_stall(now)
 
     def close(self) -> None:
-        for task in list(self.connecting):
+        for task in list(self.connect_tasks):
             task.cancel()
         for connection in list(self.all):
             connection.close()
 
 
 def load_report(data: bytes, fields: list[str]) -> list[float]:
-    """The values of a load report in the order of the settings; nothing where it can't be read whole."""
+    """Return the values of a load report in the order of the settings' fields; empty if any is unusable."""
     try:
-        told = json.loads(data)
-        values = [float(told[name]) for name in fields]
+        report = json.loads(data)
+        values = [float(report[name]) for name in fields]
     except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
-        complain("report", "a load report can't be read")
+        complain("report", "a load report cannot be parsed")
         return []
     return values if all(0.0 <= v < 1e9 for v in values) else []
--- a/fennelpoint/net/controller_host.py
+++ b/fennelpoint/net/controller_host.py
@@ -1,8 +1,8 @@
-"""The one owner of the decision module, its clock, timers and request ids.
+"""Owns the decision module with its clock, timers and request ids, and connects it to the sockets.
 
-Everything that happens on the sockets comes here, becomes an `interface` event, and each action that
-the module answers with is carried out, in order.  The host keeps what is needed to give every request
-exactly one answer; whom to send it to, and whether, is the module's alone.
+Socket events become `interface` events, and each action that the module returns is carried out, in order.  The host
+keeps what it needs to give each request exactly one response; only the module decides where a request is sent, and
+whether.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from fennelpoint.body_buffering import Budget, Upload
 from fennelpoint.control import Controller
 from fennelpoint.invariants import Invariant, violations
-from fennelpoint.net.backends import Answer, Backends, Exchange, load_report
+from fennelpoint.net.backends import Backends, Exchange, Response, load_report
 from fennelpoint.net.controller_runtime import Clock, Driver
 from fennelpoint.net.counter import Counter
 from fennelpoint.rate_limited_log import complain, log
 
-LEFT_AT_WORK = 0.5  # s after its client left, within which the work for a repeatable request has to end
+ABANDONED_WORK_TIMEOUT_S = 0.5  # after its client has left, within which work for a repeatable request must end
 
 
 @dataclass(slots=True)
 class Departures:
-    """Clients that left with attempts out, and what became of these."""
+    """Counts of clients that left with attempts in progress, and of these attempts."""
 
     clients: int = 0
-    ended: int = 0      # attempts that were given up with the client
-    running: int = 0    # attempts that were left to run
+    ended: int = 0      # attempts that were cancelled with the client's departure
+    running: int = 0    # attempts that continue
 
 
-class Confining(Protocol):
-    """What confines customers to cells, where the operator file names a plan."""
+class CellConfinement(Protocol):
+    """Confines customers to cells, if the operator file names a plan."""
 
     def cell_of(self, customer: int) -> str: ...
     def sent(self, customer: int, node: str) -> None: ...
@@ -44,31 +44,34 @@
 
 
 class Source(Protocol):
-    """Where an answer that is passed on as it comes is read from."""
+    """The connection that a streamed response is read from."""
 
     def pause(self) -> None: ...
     def resume(self) -> None: ...
 
 
 class Client(Protocol):
-    """Where a request's answer goes: at once by `served`, or from `begin` to `done` or `broken`."""
+    """Receives a request's response: whole, by `send_response`, or streamed.
 
-    def served(self, answer: Answer) -> None: ...
-    def begin(self, answer: Answer, source: Source) -> None: ...
-    def more(self, data: bytes) -> None: ...
-    def done(self) -> None: ...
-    def broken(self) -> None: ...
-    def taken_on(self) -> None: ...
-    def hung_up(self) -> bool: ...
-    def refused(self, retry_after: float) -> None: ...
-    def failed(self) -> None: ...
+    A streamed one begins with `start_response` and ends with `end_response` or `abort_response`.
+    """
+
+    def send_response(self, response: Response) -> None: ...
+    def start_response(self, response: Response, source: Source) -> None: ...
+    def write_body(self, data: bytes) -> None: ...
+    def end_response(self) -> None: ...
+    def abort_response(self) -> None: ...
+    def upload_written(self) -> None: ...
+    def has_disconnected(self) -> bool: ...
+    def send_refusal(self, retry_after: float) -> None: ...
+    def send_failure(self) -> None: ...
 
 
 @dataclass(slots=True)
-class Asked:
-    """A client's request as the server read it: what the module is told of it, and what goes on."""
+class ParsedRequest:
+    """A client's request as the server parsed it: what the module needs to know, and what is forwarded."""
 
-    txn: bytes
+    request_id: bytes
     cls: int
     plan: int
     customer: int
@@ -80,70 +83,70 @@
     is_write: bool
     head: bytes     # request line and end-to-end fields, without the time left
     body: bytes
-    bare: bool = False  # a HEAD: the client wants no body
-    upload: Upload | None = None    # its body, where that is passed on as it comes
-    coming: float = 0.0     # s in which the rest of that should come
-    cell: str = ""          # the backends that may serve it, where the reader knows
-    attempts: int = 0       # most backends that it may be sent to; 0: by the settings
+    is_head: bool = False   # a HEAD request: its response has no body
+    upload: Upload | None = None    # its body, if that is streamed
+    upload_expected_s: float = 0.0  # seconds in which the rest of the upload should arrive
+    cell: str = ""          # the backends that may serve it, if the parser knows them
+    attempts: int = 0       # maximum number of backends that it may be sent to; 0: as in the settings
 
-    def render(self, left: float, backend: object = None) -> bytes:
-        """The bytes for a backend that is waited for this many seconds."""
-        return b"%bX-Remaining-Ms: %d\r\n\r\n%b" % (self.head, max(1, int(left * 1000)), self.body)
+    def render(self, left_s: float, backend: object = None) -> bytes:
+        """Return the bytes for a backend whose response is awaited for this many seconds."""
+        return b"%bX-Remaining-Ms: %d\r\n\r\n%b" % (self.head, max(1, int(left_s * 1000)), self.body)
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
-    """An open request; it lives until its answer is given and nothing of it is out any more."""
+class OpenRequest:
+    """A request without a response, or with attempts in progress."""
 
     id: int
-    asked: Asked
-    client: Client | None   # none once it is answered or gone
+    parsed: ParsedRequest
+    client: Client | None   # None once it has its response or has left
     deadline: float
     timer: asyncio.TimerHandle | None = None
     attempts: int = 0
-    begun: bool = False     # its answer has begun to go out: there is no deadline any more
-    last: Answer | None = None  # a backend's whole answer that was no success
-    out: dict[int, Exchange] = field(default_factory=dict)
+    is_streaming: bool = False      # its response has begun to go out, so it has no deadline any more
+    last_failure: Response | None = None    # the last whole response that was no success
+    exchanges: dict[int, Exchange] = field(default_factory=dict)    # in progress, by number of the attempt
 
-    def taken(self) -> None:
-        """Some of its body, that is passed on as it comes, has been written."""
+    def upload_written(self) -> None:
+        """Let the client read on after a piece of its upload has been written to a backend."""
         if self.client is not None:
-            self.client.taken_on()
+            self.client.upload_written()
 
 
-class Host:
-    """Drives the module from socket events and its actions back to the sockets."""
+class ControllerHost:
+    """Passes socket events to the module, and its actions to the sockets."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: api.Settings, seed: int,
                  backends: Backends, counter: Counter | None, budget: Budget,
-                 decider: type[Controller] | None = None) -> None:
+                 controller_class: type[Controller] | None = None) -> None:
         self.loop, self.settings, self.backends, self.budget = loop, settings, backends, budget
         self.clock = Clock()
-        self.cells: Confining | None = None  # where the operator file names a plan
-        self.gate: Callable[[], bool] | None = None     # whether anything may be sent; asked before each send
-        self.watchers: list[Callable[[api.Roster], None]] = []  # hear of a list before the module does
+        self.cells: CellConfinement | None = None   # if the operator file names a plan
+        self.may_send: Callable[[], bool] | None = None     # whether anything may be sent; checked before each send
+        self.list_observers: list[Callable[[api.Roster], None]] = []    # get each backend list before the module
         driver = Driver(loop, self.clock, counter, self.post)
-        self.tickets: dict[int, Ticket] = {}
-        self.open_ids: set[bytes] = set()   # of the tickets, as the clients named them
-        self.waiting = 0        # requests without an answer yet
-        self.departures = Departures()      # since they were last taken
+        self.open_requests: dict[int, OpenRequest] = {}
+        self.open_ids: set[bytes] = set()   # of the open requests, as the clients named them
+        self.unanswered_count = 0           # requests without a response yet
+        self.departures = Departures()      # since the last `take_departures`
         self.last_id = 0
         self._events: deque[api.Event] = deque()
         self._delivering = False
-        self._do: dict[type, Callable] = {
+        self._action_handlers: dict[type, Callable] = {
             api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail,
             api.CancelAttempt: self._cancel, api.SetTimer: driver.set_timer, api.Probe: self._probe,
             api.Count: driver.count, api.CloseIdle: lambda a: self.backends.close_idle(a.backend),
             api.Log: lambda a: log.info("%s", a.text),
-            # The watch on discovery never ends and asks for the whole list after a gap by itself.
+            # The watch on discovery never ends and requests the whole list after a gap by itself.
             api.Subscribe: lambda a: None, api.FetchRoster: lambda a: None}
-        self.controller = (decider or Controller)(settings, seed, self.clock())
+        self.controller = (controller_class or Controller)(settings, seed, self.clock())
         self._carry_out(self.controller.start(self.clock()))
 
     # Events
 
     def post(self, event: api.Event) -> None:
-        """Give the module an event, after those that came before; actions may cause further ones."""
+        """Deliver an event to the module after those posted before; its actions may post further ones."""
         self._events.append(event)
         if self._delivering:
             return
@@ -158,240 +161,250 @@
         try:
             actions = self.controller.handle(event, self.clock())
         except Exception:
-            # Guards the rule on lost requests: a defect costs the request at hand, not the process.
+            # Guards the rule on lost requests: a defect fails the request concerned, not the process.
             log.exception("the decision module failed on %r", event)
-            ticket = self.tickets.get(getattr(event, "request", -1))
-            if ticket is not None and not ticket.out:
-                self._finish(ticket, lambda client: client.failed())
+            open_request = self.open_requests.get(getattr(event, "request", -1))
+            if open_request is not None and not open_request.exchanges:
+                self._finish(open_request, lambda client: client.send_failure())
             return
         self._carry_out(actions)
 
     def _carry_out(self, actions: list[api.Action]) -> None:
         for action in actions:
-            if (do := self._do.get(type(action))) is not None:
-                do(action)
+            if (handler := self._action_handlers.get(type(action))) is not None:
+                handler(action)
             else:
-                complain("host", "the module asked for %s, which is not served here", type(action).__name__)
+                complain("host", "no handler for the module's action %s", type(action).__name__)
 
     def follow(self, roster: api.Roster, addresses: dict[str, tuple[str, int]]) -> None:
-        """What discovery told: the sockets keep to it from now on, then the module hears of it."""
+        """Apply a backend list from discovery to the connection pools, then post it to the module."""
         self.backends.follow(roster, addresses)
-        for watch in self.watchers:
-            watch(roster)
+        for observe in self.list_observers:
+            observe(roster)
         self.post(roster)
 
-    def admit(self, client: Client, asked: Asked) -> int:
-        """Take a request whose last byte has come; its id, for `gone`."""
+    def admit(self, client: Client, parsed: ParsedRequest) -> int:
+        """Post a request to the module; returns its id.
+
+        The request is complete, or it has an upload and `body_arrived` reports the rest.
+        """
         self.last_id += 1
-        ticket = Ticket(self.last_id, asked, client, self.clock() + asked.time_left)
-        if asked.upload is not None:    # counted from its last byte; the server ends one that never comes
-            ticket.deadline = inf
-        self.tickets[ticket.id] = ticket
-        self.open_ids.add(asked.txn)
-        self.waiting += 1
-        if asked.upload is None:
-            ticket.timer = self.loop.call_later(asked.time_left, self._expire, ticket)
-        self.post(api.Request(ticket.id, asked.cls, asked.plan, asked.customer, asked.time_left, asked.units,
-                              asked.width, asked.first, asked.is_repeat, asked.is_write, asked.coming,
-                              self.cells.cell_of(asked.customer) if self.cells is not None else asked.cell,
-                              asked.attempts))
-        return ticket.id
-
-    def came(self, request: int) -> None:
-        """More of the body of a request that is passed on as it comes, or its last byte."""
-        if (ticket := self.tickets.get(request)) is None:
+        open_request = OpenRequest(self.last_id, parsed, client, self.clock() + parsed.time_left)
+        if parsed.upload is not None:   # its time runs from its last byte; the server ends one that never comes
+            open_request.deadline = inf
+        self.open_requests[open_request.id] = open_request
+        self.open_ids.add(parsed.request_id)
+        self.unanswered_count += 1
+        if parsed.upload is None:
+            open_request.timer = self.loop.call_later(parsed.time_left, self._expire, open_request)
+        self.post(api.Request(open_request.id, parsed.cls, parsed.plan, parsed.customer, parsed.time_left,
+                              parsed.units, parsed.width, parsed.first, parsed.is_repeat, parsed.is_write,
+                              parsed.upload_expected_s,
+                              self.cells.cell_of(parsed.customer) if self.cells is not None else parsed.cell,
+                              parsed.attempts))
+        return open_request.id
+
+    def body_arrived(self, request: int) -> None:
+        """Forward more of a request's upload; after its last byte, its deadline begins to count."""
+        if (open_request := self.open_requests.get(request)) is None:
             return
-        if ticket.asked.upload.whole and ticket.timer is None and not ticket.begun:
-            ticket.deadline = self.clock() + ticket.asked.time_left
-            ticket.timer = self.loop.call_later(ticket.asked.time_left, self._expire, ticket)
+        if open_request.parsed.upload.is_complete and open_request.timer is None and not open_request.is_streaming:
+            open_request.deadline = self.clock() + open_request.parsed.time_left
+            open_request.timer = self.loop.call_later(open_request.parsed.time_left, self._expire, open_request)
             self.post(api.Arrived(request))
-        for exchange in list(ticket.out.values()):
-            exchange.push()
-
-    def is_open(self, txn: bytes) -> bool:
-        """Whether a request of this id has no answer yet, or may still be with a backend."""
-        return txn in self.open_ids
-
-    def gone(self, request: int) -> None:
-        """The client has closed its connection: nobody is owed an answer, and its work ends where it may."""
-        ticket = self.tickets.get(request)
-        if ticket is not None and ticket.client is not None:
-            out = len(ticket.out)
-            self._finish(ticket, lambda client: None)
+        for exchange in list(open_request.exchanges.values()):
+            exchange.write_body()
+
+    def is_open(self, request_id: bytes) -> bool:
+        """Whether a request of this id has no response yet, or may still be with a backend."""
+        return request_id in self.open_ids
+
+    def client_left(self, request: int) -> None:
+        """Drop a request whose client has closed its connection, and end its attempts where that is harmless."""
+        open_request = self.open_requests.get(request)
+        if open_request is not None and open_request.client is not None:
+            in_progress = len(open_request.exchanges)
+            self._finish(open_request, lambda client: None)
             self.post(api.ClientGone(request))
-            self._drop_useless(ticket)
-            self._departed(ticket, out)
+            self._end_useless_attempts(open_request)
+            self._count_departure(open_request, in_progress)
 
-    def _departed(self, ticket: Ticket, out: int) -> None:
-        """Count a client that left with so many attempts out, and look later at what must have ended by then."""
-        if not out:
+    def _count_departure(self, open_request: OpenRequest, in_progress: int) -> None:
+        """Count a client that left with so many attempts in progress, and later check those that must have ended."""
+        if not in_progress:
             return
-        running = len(ticket.out)
+        running = len(open_request.exchanges)
         self.departures.clients += 1
-        self.departures.ended += out - running
+        self.departures.ended += in_progress - running
         self.departures.running += running
-        if running and not ticket.asked.is_write:
-            self.loop.call_later(LEFT_AT_WORK, self._check_ended, ticket)
+        if running and not open_request.parsed.is_write:
+            self.loop.call_later(ABANDONED_WORK_TIMEOUT_S, self._check_ended, open_request)
 
     @staticmethod
-    def _check_ended(ticket: Ticket) -> None:
-        if ticket.out:
-            detail = f"request {ticket.id} has {len(ticket.out)} attempts out"
+    def _check_ended(open_request: OpenRequest) -> None:
+        if open_request.exchanges:
+            detail = f"request {open_request.id} still has {len(open_request.exchanges)} attempts in progress"
             violations.record(Invariant.CLIENT_LEFT_ENDS_WORK, detail)
 
     def take_departures(self) -> Departures:
-        """The departures since this was last called."""
+        """Return the departures since the last call."""
         taken, self.departures = self.departures, Departures()
         return taken
 
-    def _drop_useless(self, ticket: Ticket) -> None:
-        """End the attempts that are of no use to anybody once the client has left.
+    def _end_useless_attempts(self, open_request: OpenRequest) -> None:
+        """End the attempts that are of no use once the client has left.
 
-        The rest of an answer that has begun, half a request, and the run of a request that may be repeated.  One that
-        may run once only runs on: broken off, it may have run in part, and whoever asked could not tell.
+        These are streamed responses, incomplete requests and repeatable requests.  A request that must run at most
+        once continues: if cancelled, it may have run in part, and its sender could not tell.
         """
-        upload = ticket.asked.upload
-        if ticket.begun or not ticket.asked.is_write or (upload is not None and not upload.whole):
-            for exchange in list(ticket.out.values()):
+        upload = open_request.parsed.upload
+        if open_request.is_streaming or not open_request.parsed.is_write or (
+                upload is not None and not upload.is_complete):
+            for exchange in list(open_request.exchanges.values()):
                 exchange.give_up(api.Status.CANCELLED)
 
-    def _finish(self, ticket: Ticket, answer: Callable[[Client], None]) -> None:
-        """The one answer of a request; whatever else is said of it later is moot."""
-        client, ticket.client = ticket.client, None
+    def _finish(self, open_request: OpenRequest, respond: Callable[[Client], None]) -> None:
+        """Give a request its only response; any later one is ignored."""
+        client, open_request.client = open_request.client, None
         if client is not None:
-            self.waiting -= 1
-            self._forget(ticket)
-            answer(client)
-
-    def _forget(self, ticket: Ticket) -> None:
-        if ticket.client is None and not ticket.out and self.tickets.pop(ticket.id, None) is not None:
-            if ticket.timer is not None:
-                ticket.timer.cancel()
-            self.open_ids.discard(ticket.asked.txn)
-
-    def _expire(self, ticket: Ticket) -> None:
-        """The client's time is up: what is out is given up, and the module has the last word at once."""
-        if ticket.begun:
+            self.unanswered_count -= 1
+            self._release(open_request)
+            respond(client)
+
+    def _release(self, open_request: OpenRequest) -> None:
+        """Forget a request that has its response and no attempts in progress."""
+        if open_request.client is None and not open_request.exchanges and (
+                self.open_requests.pop(open_request.id, None) is not None):
+            if open_request.timer is not None:
+                open_request.timer.cancel()
+            self.open_ids.discard(open_request.parsed.request_id)
+
+    def _expire(self, open_request: OpenRequest) -> None:
+        """Give up a request's attempts at its deadline; the module decides at once how it is answered."""
+        if open_request.is_streaming:
             return
-        for exchange in list(ticket.out.values()):
+        for exchange in list(open_request.exchanges.values()):
             exchange.give_up(api.Status.TIMEOUT)
-        if ticket.client is not None:
-            # Guards against a module that has lost a request: the answer must not wait for it.
-            complain("host", "request %d was still unanswered when its time was up", ticket.id)
-            self._finish(ticket, lambda client: client.failed())
+        if open_request.client is not None:
+            # Guards against a module that has lost a request: the response must not wait for it.
+            complain("host", "request %d had no response at its deadline", open_request.id)
+            self._finish(open_request, lambda client: client.send_failure())
 
     def fail_all(self) -> None:
-        """The process ends: what is open gets its answer now, while there is someone to give it."""
-        for ticket in list(self.tickets.values()):
-            if ticket.begun:
-                self._finish(ticket, lambda client: client.broken())
+        """Answer all open requests now, as the process is about to end."""
+        for open_request in list(self.open_requests.values()):
+            if open_request.is_streaming:
+                self._finish(open_request, lambda client: client.abort_response())
             else:
-                self._finish(ticket, lambda client: client.failed())
-            self._drop_useless(ticket)
+                self._finish(open_request, lambda client: client.send_failure())
+            self._end_useless_attempts(open_request)
 
     # Actions
 
     def _send(self, send: api.Send) -> None:
-        ticket, now = self.tickets.get(send.request), self.clock()
-        # Guards a backend's time: the end of a client that is in a hurry may still wait to be read.
-        if ticket is not None and ticket.client is not None and ticket.client.hung_up():
-            self.gone(ticket.id)
-        number = ticket.attempts if ticket is not None else 0
-        if (ticket is None or ticket.client is None or ticket.begun or now >= ticket.deadline
+        open_request, now = self.open_requests.get(send.request), self.clock()
+        # Saves the backend's time: an impatient client's FIN may have arrived and not been read yet.
+        if open_request is not None and open_request.client is not None and open_request.client.has_disconnected():
+            self.client_left(open_request.id)
+        number = open_request.attempts if open_request is not None else 0
+        if (open_request is None or open_request.client is None or open_request.is_streaming
+                or now >= open_request.deadline
                 or send.timeout < 0.0 or number >= self.settings.max_attempts
-                or (self.gate is not None and not self.gate())):
+                or (self.may_send is not None and not self.may_send())):
             return self.post(api.Outcome(send.request, number, send.backend, api.Status.MOOT, 0.0,
-                                         ticket is None or ticket.client is None))
-        ticket.attempts += 1
+                                         open_request is None or open_request.client is None))
+        open_request.attempts += 1
         if self.cells is not None:
-            self.cells.sent(ticket.asked.customer, send.backend)
-        until = min(ticket.deadline, now + send.timeout) if send.timeout else ticket.deadline
+            self.cells.sent(open_request.parsed.customer, send.backend)
+        until = min(open_request.deadline, now + send.timeout) if send.timeout else open_request.deadline
         timer: asyncio.TimerHandle | None = None
 
-        def done(status: api.Status, answer: Answer | None) -> None:
+        def on_end(status: api.Status, response: Response | None) -> None:
             if timer is not None:
                 timer.cancel()
-            ticket.out.pop(number, None)
+            open_request.exchanges.pop(number, None)
             if self.cells is not None:
-                self.cells.ended(ticket.asked.customer, send.backend, status)
-            if ticket.begun:
-                good = status is api.Status.OK
-                self._finish(ticket, lambda client: client.done() if good else client.broken())
-            elif status is api.Status.OK and ticket.client is not None:
-                self._finish(ticket, lambda client: client.served(answer))
-            elif answer is not None and not status.never_ran:
-                ticket.last = answer
-            self._forget(ticket)
+                self.cells.ended(open_request.parsed.customer, send.backend, status)
+            if open_request.is_streaming:
+                is_complete = status is api.Status.OK
+                self._finish(open_request,
+                             lambda client: client.end_response() if is_complete else client.abort_response())
+            elif status is api.Status.OK and open_request.client is not None:
+                self._finish(open_request, lambda client: client.send_response(response))
+            elif response is not None and not status.never_ran:
+                open_request.last_failure = response
+            self._release(open_request)
             self.post(api.Outcome(send.request, number, send.backend, status,
-                                  self.clock() - self._sent(ticket, now),
-                                  ticket.client is None, report=self._report(answer), wrote=exchange.wrote))
+                                  self.clock() - self._started_at(open_request, now),
+                                  open_request.client is None, report=self._report(response),
+                                  wrote=exchange.has_written))
 
-        def begun(answer: Answer, source: Source) -> Client | None:
-            if (client := ticket.client) is None:
+        def on_stream_start(response: Response, source: Source) -> Client | None:
+            if (client := open_request.client) is None:
                 return None
-            ticket.begun = True
+            open_request.is_streaming = True
             if timer is not None:
                 timer.cancel()
-            client.begin(answer, source)
-            latency = self.clock() - self._sent(ticket, now)
+            client.start_response(response, source)
+            latency = self.clock() - self._started_at(open_request, now)
             self.post(api.StreamStarted(send.request, number, send.backend, latency))
             return client
 
-        def may() -> bool:
-            # What its client has given up while the connection came up is not sent on any more.
-            return ticket.client is not None and (self.gate is None or self.gate())
+        def may_send() -> bool:
+            # A request that its client gave up while the connection was being established is not sent.
+            return open_request.client is not None and (self.may_send is None or self.may_send())
 
         def render() -> bytes:
-            if ticket.client is None:
-                violations.record(Invariant.CLIENT_LEFT_NOTHING_SENT, f"request {ticket.id}")
-            if ticket.asked.upload is None:
-                return ticket.asked.render(until - self.clock(), send.backend)
-            self.post(api.Spent(send.request))  # what is written is held no more
-            return ticket.asked.render(ticket.asked.time_left, send.backend)
-
-        exchange = Exchange(render, done, begun, ticket.asked.upload, ticket.taken)
-        exchange.may, exchange.txn = may, ticket.asked.txn
-        exchange.once = ticket.asked.is_write
-        ticket.out[number] = exchange
-        if until < ticket.deadline and ticket.asked.upload is None:     # else the request's own timer ends it
+            if open_request.client is None:
+                violations.record(Invariant.CLIENT_LEFT_NOTHING_SENT, f"request {open_request.id}")
+            if open_request.parsed.upload is None:
+                return open_request.parsed.render(until - self.clock(), send.backend)
+            self.post(api.Spent(send.request))  # what is written is not kept for a retry
+            return open_request.parsed.render(open_request.parsed.time_left, send.backend)
+
+        exchange = Exchange(render, on_end, on_stream_start, open_request.parsed.upload, open_request.upload_written)
+        exchange.may_send, exchange.request_id = may_send, open_request.parsed.request_id
+        exchange.at_most_once = open_request.parsed.is_write
+        open_request.exchanges[number] = exchange
+        if until < open_request.deadline and open_request.parsed.upload is None:    # else the request's timer ends it
             timer = self.loop.call_later(until - now, exchange.give_up, api.Status.TIMEOUT)
         self.backends.begin(exchange, send.backend)
 
     @staticmethod
-    def _sent(ticket: Ticket, began: float) -> float:
-        """When an attempt's time began: with the request's last byte, where that came later than the send."""
-        if ticket.asked.upload is None or ticket.deadline == inf:
-            return began
-        return max(began, ticket.deadline - ticket.asked.time_left)
-
-    def _report(self, answer: Answer | None) -> list[float]:
-        if answer is None or self.settings.report_via != "answers":
+    def _started_at(open_request: OpenRequest, sent_at: float) -> float:
+        """Return when an attempt's latency begins to count: at the send, or at the request's last byte if later."""
+        if open_request.parsed.upload is None or open_request.deadline == inf:
+            return sent_at
+        return max(sent_at, open_request.deadline - open_request.parsed.time_left)
+
+    def _report(self, response: Response | None) -> list[float]:
+        if response is None or self.settings.report_via != "answers":
             return []
-        told = next((value for name, value in answer.headers if name == b"x-pressure"), None)
-        return load_report(told, self.settings.report_fields) if told is not None else []
+        report = next((value for name, value in response.headers if name == b"x-pressure"), None)
+        return load_report(report, self.settings.report_fields) if report is not None else []
 
     def _refuse(self, refuse: api.Refuse) -> None:
-        if (ticket := self.tickets.get(refuse.request)) is not None:
-            self._finish(ticket, lambda client: client.refused(refuse.retry_after))
+        if (open_request := self.open_requests.get(refuse.request)) is not None:
+            self._finish(open_request, lambda client: client.send_refusal(refuse.retry_after))
 
     def _fail(self, fail: api.Fail) -> None:
-        if (ticket := self.tickets.get(fail.request)) is not None:
-            self._finish(ticket, lambda client: client.failed())
+        if (open_request := self.open_requests.get(fail.request)) is not None:
+            self._finish(open_request, lambda client: client.send_failure())
 
     def _cancel(self, cancel: api.CancelAttempt) -> None:
-        ticket = self.tickets.get(cancel.request)
-        if ticket is not None and (exchange := ticket.out.get(cancel.attempt)) is not None:
+        open_request = self.open_requests.get(cancel.request)
+        if open_request is not None and (exchange := open_request.exchanges.get(cancel.attempt)) is not None:
             exchange.give_up(api.Status.CANCELLED)
 
     def _probe(self, probe: api.Probe) -> None:
-        sent = self.clock()
+        sent_at = self.clock()
 
-        def done(status: api.Status, answer: Answer | None) -> None:
+        def on_end(status: api.Status, response: Response | None) -> None:
             timer.cancel()
-            report = load_report(answer.body, self.settings.report_fields) if (
+            report = load_report(response.body, self.settings.report_fields) if (
                 status is api.Status.OK and self.settings.report_via != "none") else []
-            self.post(api.ProbeResult(probe.backend, status, self.clock() - sent, report))
+            self.post(api.ProbeResult(probe.backend, status, self.clock() - sent_at, report))
 
-        exchange = Exchange(lambda: b"GET /status/load HTTP/1.1\r\nHost: app.svc\r\n\r\n", done)
-        timer = self.loop.call_later(self.backends.connect_timeout, exchange.give_up, api.Status.TIMEOUT)
+        exchange = Exchange(lambda: b"GET /status/load HTTP/1.1\r\nHost: app.svc\r\n\r\n", on_end)
+        timer = self.loop.call_later(self.backends.connect_timeout_s, exchange.give_up, api.Status.TIMEOUT)
         self.backends.begin(exchange, probe.backend)
--- a/fennelpoint/net/controller_runtime.py
+++ b/fennelpoint/net/controller_runtime.py
@@ -1,4 +1,4 @@
-"""What every owner of a decision module does for it alike: its clock, its timers, its counter calls."""
+"""The runtime that each owner of a decision module gives it: clock, timers, calls to the counter."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from fennelpoint import interface as api
 from fennelpoint.net.counter import Counter
 
-EARLY = 0.0005  # s by which a timer may ring ahead of its time
+TIMER_TOLERANCE_S = 0.0005  # by which a timer may fire early
 
 
 class Clock:
-    """Unix time that only goes forward: the wall clock is read once, so that a step of it is not seen."""
+    """Unix time that never goes backwards: the wall clock is read once, so that its later steps have no effect."""
 
     def __init__(self) -> None:
         self.offset = time.time() - time.monotonic()
@@ -23,18 +23,18 @@
 
 
 class Driver:
-    """Carries out SetTimer and Count; what comes of them goes to `post`."""
+    """Carries out the SetTimer and Count actions; passes the resulting events to `post`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, counter: Counter | None,
                  post: Callable[[api.Event], None]) -> None:
         self.loop, self.clock, self.counter, self.post = loop, clock, counter, post
 
     def set_timer(self, timer: api.SetTimer) -> None:
-        self.loop.call_later(timer.delay, self._ring, self.clock() + timer.delay, timer.token)
+        self.loop.call_later(timer.delay, self._fire, self.clock() + timer.delay, timer.token)
 
-    def _ring(self, at: float, token: int) -> None:
-        if (left := at - self.clock()) > EARLY:     # the loop counts in whole milliseconds
-            self.loop.call_later(left, self._ring, at, token)
+    def _fire(self, due_at: float, token: int) -> None:
+        if (left_s := due_at - self.clock()) > TIMER_TOLERANCE_S:   # the loop counts in whole milliseconds
+            self.loop.call_later(left_s, self._fire, due_at, token)
         else:
             self.post(api.TimerDue(token))
 
--- a/fennelpoint/net/counter.py
+++ b/fennelpoint/net/counter.py
@@ -1,8 +1,8 @@
-"""Calls to the counter: one persistent connection, calls written one behind another.
+"""Client of the shared counter: one persistent connection with pipelined calls.
 
-Answers come in the order of the calls and belong to them by nothing else, so an answer that comes after
-its call was given up must still be taken off the line, and an answer that can't be read ends the
-connection: nothing behind it can be told apart.
+Answers come in the order of the calls, and nothing else says which call they belong to.  So the answer to a call that
+has timed out must still be read, and an answer that cannot be parsed ends the connection, as those after it could not
+be attributed.
 """
 
 from __future__ import annotations
@@ -18,161 +18,168 @@
 from fennelpoint.interface import CounterReply, Status
 from fennelpoint.rate_limited_log import complain
 
-CALL_TIMEOUT = 0.05     # s, where the settings tell none
-CONNECT_TIMEOUT = 0.25  # s
-SILENT = 1.0            # s without an answer that is due: the counter is silent
-LINE_SILENT = 3.0       # time-outs without one: the connection is dead, though it looks open
-IDLE = 3.0              # s after which it is closed from here, before the counter does
-PAUSE = 0.1             # s between two connects where the last failed
-MOST_LINE, MOST_CALLS = 256, 10_000  # bytes without a line's end; calls on the line
+DEFAULT_CALL_TIMEOUT_S = 0.05   # if the settings have none
+CONNECT_TIMEOUT_S = 0.25
+UNANSWERED_TIMEOUT_S = 1.0      # without an answer that is due, after which the counter counts as unavailable
+DEAD_CONNECTION_TIMEOUTS = 3.0  # call timeouts without an answer, after which a connection counts as dead
+IDLE_TIMEOUT_S = 3.0            # after which this side closes the connection, before the counter does
+RECONNECT_DELAY_S = 0.1         # after a failed connect
+MAX_LINE_BYTES, MAX_CALLS = 256, 10_000     # without the end of a line; calls that are open
 
-Tell = Callable[[CounterReply], None]
+OnReply = Callable[[CounterReply], None]
 
 
 @dataclass(slots=True, eq=False)
 class Call:
     name: int
     line: bytes
-    at: float
-    tell: Tell | None       # none once the caller knows how it ended
+    started_at: float
+    on_reply: OnReply | None    # None once the caller knows the outcome
     owner: Counter
 
     def end(self, status: Status, total: float = 0.0) -> None:
+        """Report the outcome to the caller, unless the call has ended already."""
         if status in (Status.OK, Status.FULL):
             self.owner.unanswered_since = None
         elif self.owner.unanswered_since is None:
             self.owner.unanswered_since = time.monotonic()
-        if (tell := self.tell) is not None:
-            self.tell = None
-            tell(CounterReply(self.name, status, total, time.monotonic() - self.at))
+        if (on_reply := self.on_reply) is not None:
+            self.on_reply = None
+            on_reply(CounterReply(self.name, status, total, time.monotonic() - self.started_at))
 
 
 def amount_text(amount: float) -> bytes:
-    """A plain decimal number: the counter reads no exponents."""
+    """Format an amount as a plain decimal number, as the counter accepts no exponents."""
     return f"{amount:.6f}".rstrip("0").rstrip(".").encode()
 
 
 class Counter:
-    """The shared counter as its one connection at a time."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop, host: str, port: int, timeout: float) -> None:
-        self.loop, self.host, self.port, self.timeout = loop, host, port, timeout or CALL_TIMEOUT
-        self.line: CounterLine | None = None
-        self.leaving: set[CounterLine] = set()  # at an address before this one, with calls to be answered
-        self.connecting: asyncio.Task | None = None
-        self.not_before = 0.0
+    """The shared counter, reached over one connection at a time."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, host: str, port: int, timeout_s: float) -> None:
+        self.loop, self.host, self.port, self.timeout_s = loop, host, port, timeout_s or DEFAULT_CALL_TIMEOUT_S
+        self.connection: CounterConnection | None = None
+        self.draining: set[CounterConnection] = set()   # to an earlier address, with calls still unanswered
+        self.connect_task: asyncio.Task | None = None
+        self.connect_not_before = 0.0
         self.unsent: deque[Call] = deque()
-        self.told: deque[Call] = deque()        # all calls in their order, to end those in time
+        self.open_calls: deque[Call] = deque()  # all calls in their order, so that they end in time
         self.timer: asyncio.TimerHandle | None = None
-        self.unanswered_since: float | None = None  # of calls, none of which was answered since
-        self.unheard = 0        # connections in a row that were left as silent
+        self.unanswered_since: float | None = None  # since the first of the calls that failed in a row
+        self.silent_connections = 0     # connections in a row that were closed without having received anything
 
     @property
-    def answers(self) -> bool:
-        """Whether calls are answered; also while there are none."""
+    def is_available(self) -> bool:
+        """Whether calls are answered; also true while there are none."""
         since = self.unanswered_since
-        return since is None or time.monotonic() - since < SILENT
+        return since is None or time.monotonic() - since < UNANSWERED_TIMEOUT_S
 
     @property
-    def patience(self) -> float:
-        """Seconds without an answer that is due after which a connection is left for a new one.
+    def dead_connection_timeout_s(self) -> float:
+        """Seconds without an answer that is due, after which a connection is replaced.
 
-        A few time-outs, by the counter's own: what is called meanwhile may or may not have been added, so
-        each second of it is use that nobody is told of.  Twice as long after each connection in a row that
-        said nothing: guards a counter that is slow, or down, against a client that only reconnects.
+        A few call timeouts by the clock of this side.  What is called meanwhile may or may not have been added, so
+        each second of it is usage that other ingresses do not see.  The time doubles with each connection in a row
+        that received nothing, as a client that keeps reconnecting would harm a counter that is slow or down.
         """
-        return max(self.timeout, min(SILENT, LINE_SILENT * self.timeout * 2.0 ** min(self.unheard, 10)))
-
-    def call(self, name: int, amount: float, forget_after: float, tell: Tell) -> None:
-        """Add an amount to a name; the reply is told once, within the time-out."""
-        life = min(60_000, max(1, round(forget_after * 1000)))
-        line = b"tally %d %b %d\r\n" % (name, amount_text(amount), life)
-        call = Call(name, line, time.monotonic(), tell, self)
-        if len(self.told) >= MOST_CALLS:
+        return max(self.timeout_s, min(UNANSWERED_TIMEOUT_S, DEAD_CONNECTION_TIMEOUTS * self.timeout_s * 2.0 ** min(
+            self.silent_connections, 10)))
+
+    def call(self, name: int, amount: float, forget_after_s: float, on_reply: OnReply) -> None:
+        """Add an amount to a name; `on_reply` is called once, within the timeout."""
+        ttl_ms = min(60_000, max(1, round(forget_after_s * 1000)))
+        line = b"tally %d %b %d\r\n" % (name, amount_text(amount), ttl_ms)
+        call = Call(name, line, time.monotonic(), on_reply, self)
+        if len(self.open_calls) >= MAX_CALLS:
             return call.end(Status.CONNECT_FAILED)
-        if (self.line is None or self.line.address != (self.host, self.port)) and self.connecting is None:
+        if (self.connection is None or self.connection.address != (self.host, self.port)) and (
+                self.connect_task is None):
             self._connect()
-        if self.line is None and self.connecting is None:   # it failed just now: the caller needn't wait
+        if self.connection is None and self.connect_task is None:   # a connect failed just now: fail at once
             return call.end(Status.CONNECT_FAILED)
-        self.told.append(call)
+        self.open_calls.append(call)
         if self.timer is None:
-            self.timer = self.loop.call_later(self.timeout, self._late)
-        if self.line is not None and not self.line.paused:
-            self.line.send(call)
+            self.timer = self.loop.call_later(self.timeout_s, self._expire)
+        if self.connection is not None and not self.connection.is_paused:
+            self.connection.send(call)
         else:
             self.unsent.append(call)
 
-    def _late(self) -> None:
-        """End the calls whose time is up; nothing was added where nothing was written."""
+    def _expire(self) -> None:
+        """End the calls that have timed out; one that was not written has added nothing."""
         self.timer, now = None, time.monotonic()
-        while self.told and (self.told[0].tell is None or self.told[0].at + self.timeout <= now):
-            call = self.told.popleft()
+        while self.open_calls and (
+                self.open_calls[0].on_reply is None or self.open_calls[0].started_at + self.timeout_s <= now):
+            call = self.open_calls.popleft()
             if call in self.unsent:
                 self.unsent.remove(call)
                 call.end(Status.CONNECT_FAILED)
             else:
                 call.end(Status.TIMEOUT)
-        self._leave_silent(now)
-        if self.told and self.timer is None:
-            self.timer = self.loop.call_later(max(0.001, self.told[0].at + self.timeout - now), self._late)
-
-    def _leave_silent(self, now: float) -> None:
-        """Guards against a connection that died without a word: TCP does not tell for minutes."""
-        line = self.line
-        if line is not None and line.calls and now - max(line.calls[0].at, line.heard) > self.patience:
-            complain("counter", "is silent on its connection")
-            self.unheard += 1
-            line.close()
+        self._close_if_dead(now)
+        if self.open_calls and self.timer is None:
+            self.timer = self.loop.call_later(
+                max(0.001, self.open_calls[0].started_at + self.timeout_s - now), self._expire)
+
+    def _close_if_dead(self, now: float) -> None:
+        """Close a connection that died without a FIN or reset: TCP does not report that for minutes."""
+        connection = self.connection
+        if connection is not None and connection.calls and now - max(
+                connection.calls[0].started_at, connection.last_received_at) > self.dead_connection_timeout_s:
+            complain("counter", "no answers arrive on the connection; closing it")
+            self.silent_connections += 1
+            connection.close()
 
     def _connect(self) -> None:
-        if time.monotonic() < self.not_before:
+        if time.monotonic() < self.connect_not_before:
             return
         address = (self.host, self.port)
-        task = self.connecting = self.loop.create_task(connect(
-            self.loop, lambda: CounterLine(self, address), *address))
-        timer = self.loop.call_later(CONNECT_TIMEOUT, task.cancel)
+        task = self.connect_task = self.loop.create_task(connect(
+            self.loop, lambda: CounterConnection(self, address), *address))
+        timer = self.loop.call_later(CONNECT_TIMEOUT_S, task.cancel)
 
         def connected(task: asyncio.Task) -> None:
             timer.cancel()
-            ours = self.connecting is task
-            if ours:
-                self.connecting = None
-            if not task.cancelled() and task.exception() is None or not ours:
+            is_current = self.connect_task is task
+            if is_current:
+                self.connect_task = None
+            if not task.cancelled() and task.exception() is None or not is_current:
                 return
-            complain("counter", "can't be reached at %s:%d", *address)
-            self.not_before = time.monotonic() + PAUSE
-            if self.line is None:
+            complain("counter", "cannot connect to %s:%d", *address)
+            self.connect_not_before = time.monotonic() + RECONNECT_DELAY_S
+            if self.connection is None:
                 self._end_unsent()
 
         task.add_done_callback(connected)
 
     def move(self, host: str, port: int) -> None:
-        """Go over to another address; calls go to the old one until the new one is reached."""
+        """Switch to another address; calls go to the old one until a connection to the new one is established."""
         if (host, port) == (self.host, self.port):
             return
         self.host, self.port = host, port
-        if self.connecting is not None:
-            self.connecting.cancel()
-            self.connecting = None
-        self.not_before = 0.0
+        if self.connect_task is not None:
+            self.connect_task.cancel()
+            self.connect_task = None
+        self.connect_not_before = 0.0
         self._connect()
 
-    def up(self, line: CounterLine) -> None:
-        old, self.line, self.connecting = self.line, line, None
+    def handle_connected(self, connection: CounterConnection) -> None:
+        """Use a new connection from now on; the old one closes once its last call is answered or has timed out."""
+        old, self.connection, self.connect_task = self.connection, connection, None
         if old is not None:
-            # Guards the calls in flight: the old line is left once the last of them is answered or late.
-            self.leaving.add(old)
-            old.leave()
-        self.flush(line)
-
-    def flush(self, line: CounterLine) -> None:
-        while line is self.line and self.unsent and not line.paused:
-            line.send(self.unsent.popleft())
-
-    def down(self, line: CounterLine) -> None:
-        self.leaving.discard(line)
-        if self.line is line:
-            self.line = None
+            self.draining.add(old)
+            old.drain()
+        self.flush(connection)
+
+    def flush(self, connection: CounterConnection) -> None:
+        """Send the unsent calls on the current connection, as far as it takes them."""
+        while connection is self.connection and self.unsent and not connection.is_paused:
+            connection.send(self.unsent.popleft())
+
+    def handle_disconnected(self, connection: CounterConnection) -> None:
+        self.draining.discard(connection)
+        if self.connection is connection:
+            self.connection = None
             self._end_unsent()
 
     def _end_unsent(self) -> None:
@@ -181,98 +188,99 @@
             call.end(Status.CONNECT_FAILED)
 
     def sweep(self) -> None:
-        """Leave a connection that is silent, or idle; the next call opens another."""
+        """Close a connection that is dead or idle; the next call opens another."""
         now = time.monotonic()
-        for line in [line for line in self.leaving if now - line.used > max(SILENT, self.timeout)]:
-            line.close()
-        if (line := self.line) is None:
+        for connection in [connection for connection in self.draining if now - connection.last_sent_at > max(
+                UNANSWERED_TIMEOUT_S, self.timeout_s)]:
+            connection.close()
+        if (connection := self.connection) is None:
             return
-        if not line.calls and now - line.used > IDLE:
-            line.close()
+        if not connection.calls and now - connection.last_sent_at > IDLE_TIMEOUT_S:
+            connection.close()
         else:
-            self._leave_silent(now)
+            self._close_if_dead(now)
 
     def close(self) -> None:
-        if self.connecting is not None:
-            self.connecting.cancel()
-        for line in [*self.leaving, *([self.line] if self.line is not None else [])]:
-            line.close()
+        if self.connect_task is not None:
+            self.connect_task.cancel()
+        for connection in [*self.draining, *([self.connection] if self.connection is not None else [])]:
+            connection.close()
 
 
-class CounterLine(asyncio.Protocol):
-    """One connection with the calls whose answers are still to come."""
+class CounterConnection(asyncio.Protocol):
+    """One connection, with the calls that have not been answered on it."""
 
     def __init__(self, counter: Counter, address: tuple[str, int]) -> None:
         self.counter, self.address = counter, address
-        self.left = False       # closed with the answer to its last call
+        self.is_draining = False    # closes with the answer to its last call
         self.calls: deque[Call] = deque()
-        self.rest = b""
-        self.paused = False     # the last call is not written whole; none may follow it yet
-        self.heard = self.used = time.monotonic()
+        self.incomplete_line = b""
+        self.is_paused = False      # the last call is not written completely, so none may follow it yet
+        self.last_received_at = self.last_sent_at = time.monotonic()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)   # so that pausing tells what is not written
-        self.counter.up(self)
+        transport.set_write_buffer_limits(high=0)   # so that pause_writing reports anything unwritten
+        self.counter.handle_connected(self)
 
     def pause_writing(self) -> None:
-        self.paused = True
+        self.is_paused = True
 
     def resume_writing(self) -> None:
-        self.paused = False
+        self.is_paused = False
         self.counter.flush(self)
 
     def send(self, call: Call) -> None:
         self.calls.append(call)
-        self.used = time.monotonic()
+        self.last_sent_at = time.monotonic()
         self.transport.write(call.line)
 
     def data_received(self, data: bytes) -> None:
-        self.heard, self.counter.unheard = time.monotonic(), 0
-        *lines, self.rest = (self.rest + data).split(b"\r\n")
+        self.last_received_at, self.counter.silent_connections = time.monotonic(), 0
+        *lines, self.incomplete_line = (self.incomplete_line + data).split(b"\r\n")
         for line in lines:
-            if not self.calls or not self._answer(self.calls.popleft(), line):
-                complain("counter", "an answer can't be read: %r", line[:64])
+            if not self.calls or not self._end_call(self.calls.popleft(), line):
+                complain("counter", "cannot parse the answer: %r", line[:64])
                 return self.close()
-        if self.left and not self.calls:
+        if self.is_draining and not self.calls:
             self.close()
-        if len(self.rest) > MOST_LINE:
-            complain("counter", "an answer has no end")
+        if len(self.incomplete_line) > MAX_LINE_BYTES:
+            complain("counter", "an answer exceeds the maximum line length")
             self.close()
 
-    def _answer(self, call: Call, line: bytes) -> bool:
-        """Tell the caller; whether the line could be read."""
-        word, _, figure = line.partition(b" ")
+    def _end_call(self, call: Call, line: bytes) -> bool:
+        """End a call with its answer; returns whether the line could be parsed."""
+        keyword, _, number = line.partition(b" ")
         try:
-            total = float(figure) if word == b"ok" else 0.0
+            total = float(number) if keyword == b"ok" else 0.0
         except ValueError:
             total = math.nan
-        if not math.isfinite(total) or word not in (b"ok", b"busy", b"error"):
-            call.end(Status.TIMEOUT)    # it may have been added
+        if not math.isfinite(total) or keyword not in (b"ok", b"busy", b"error"):
+            call.end(Status.TIMEOUT)    # the amount may have been added
             return False
-        call.end({b"ok": Status.OK, b"busy": Status.FULL}.get(word, Status.CONNECT_FAILED), total)
+        call.end({b"ok": Status.OK, b"busy": Status.FULL}.get(keyword, Status.CONNECT_FAILED), total)
         return True
 
-    def leave(self) -> None:
-        """Nothing new is sent here; what is out is waited for."""
-        self.left = True
+    def drain(self) -> None:
+        """Close once the calls that were sent are answered; no others are sent."""
+        self.is_draining = True
         if not self.calls:
             self.close()
 
     def close(self) -> None:
         self.transport.abort()
-        self._lost()
+        self._handle_loss()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self._lost()
+        self._handle_loss()
 
-    def _lost(self) -> None:
-        """What was written whole may have been added; those that wait for an answer get none."""
+    def _handle_loss(self) -> None:
+        """End the unanswered calls: one that was written completely may have been added."""
         calls, self.calls = self.calls, deque()
-        self.counter.down(self)
-        if self.paused and calls:
-            self.paused = False
+        self.counter.handle_disconnected(self)
+        if self.is_paused and calls:
+            self.is_paused = False
             calls.pop().end(Status.CONNECT_FAILED)
         for call in calls:
             call.end(Status.TIMEOUT)
--- a/fennelpoint/net/discovery.py
+++ b/fennelpoint/net/discovery.py
@@ -1,6 +1,6 @@
-"""The list of backends: the whole of it first, then watches back to back.
+"""Client of discovery: fetches the whole list of backends first, then long-polls for its changes.
 
-Silence is not an empty list: while discovery can't be reached or read, what was told last stays.
+A failure of discovery does not empty the list: while it cannot be reached or parsed, the last list stays in use.
 """
 
 from __future__ import annotations
@@ -17,21 +17,22 @@
 from fennelpoint import interface as api
 from fennelpoint.rate_limited_log import complain
 
-HOLD = 2.0              # s that a watch may wait: short, so that a dead connection is noticed soon
-HOLD_ASKED = 20.0       # s where each watch may cost the service a call
-SLACK = 1.0             # s over that until the answer is given up
-LINE_WAIT = 2.5         # s for a whole list, which may stand in line: giving up wastes its turn
-BACKOFF, BACKOFF_MOST = 0.1, 1.0  # s before asking again after a failure, doubling up to
-TURNED_EACH, TURNED_MOST = 0.2, 20.0  # s an ingress of the fleet that all ask again in, once it is overbooked
-MOST_LIST = 8 * 1024 * 1024  # bytes of a list
-STATES = {"up": api.BackendState.READY, "draining": api.BackendState.DRAINING,
-          "removed": api.BackendState.GONE}
+WATCH_HOLD_S = 2.0      # that discovery may hold a watch: short, so that a dead connection is noticed soon
+COSTLY_WATCH_HOLD_S = 20.0  # if each watch may cost the service a call
+ANSWER_SLACK_S = 1.0    # beyond the hold, until a watch is given up
+LIST_TIMEOUT_S = 2.5    # for a whole list, whose call may be queued: giving up early would waste its turn
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 1.0     # before the retry after a failure, doubling in between
+# For each ingress of the fleet, the time over which all retry after discovery has rejected calls as overloaded.
+REJECTED_BACKOFF_PER_INGRESS_S, MAX_REJECTED_BACKOFF_S = 0.2, 20.0
+MAX_LIST_BYTES = 8 * 1024 * 1024
+STATE_BY_PHASE = {"up": api.BackendState.READY, "draining": api.BackendState.DRAINING,
+                  "removed": api.BackendState.GONE}
 
 Address = tuple[str, int]
 
 
 class ListError(ValueError):
-    """A list that can't be read; the text names the field."""
+    """A list that cannot be parsed; the text names the field."""
 
 
 @dataclass(slots=True)
@@ -43,55 +44,59 @@
 
 
 def parse_address(text: object, where: str) -> Address:
-    """HOST:PORT as an address to connect to; there is no DNS, so the host is one of numbers."""
+    """Parse HOST:PORT; as there is no DNS, the host is an IPv4 address.  `where` names the field in errors."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    parts = host.split(".")
-    if len(parts) != 4 or not all(p.isascii() and p.isdigit() and int(p) < 256 for p in parts):
+    octets = host.split(".")
+    if len(octets) != 4 or not all(p.isascii() and p.isdigit() and int(p) < 256 for p in octets):
         raise ListError(f"{where}: {text!r} is not an IPv4 address with a port")
     if not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise ListError(f"{where}: {text!r} has no port")
+        raise ListError(f"{where}: {text!r} has no valid port")
     return host, int(port)
 
 
-def _figure(value: object, where: str) -> float:
+def _number(value: object, where: str) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value < math.inf:
-        raise ListError(f"{where}: {value!r} is not a finite figure of 0 or more")
+        raise ListError(f"{where}: {value!r} is not a finite number of 0 or more")
     return float(value)
 
 
 def _index(names: list[str], value: object) -> int:
-    """A zone or kind by its place in the settings; one that they don't name is past their end."""
+    """Return a zone's or kind's index in the settings; for one that they do not name, the number of names."""
     return names.index(value) if value in names else len(names)
 
 
 def parse_member(value: object, settings: api.Settings,
                  where: str) -> tuple[api.BackendEntry, Address | None]:
-    """One backend of a list."""
+    """Parse one backend of a list; raises ListError."""
     if not isinstance(value, dict):
         raise ListError(f"{where} is not an object")
     name, phase = value.get("id"), value.get("phase")
     if not isinstance(name, str) or not name:
         raise ListError(f"{where}.id: {name!r} is not a name")
-    if not isinstance(phase, str) or phase not in STATES:
-        raise ListError(f"{where}.phase: {phase!r} is none of {', '.join(STATES)}")
-    state = STATES[phase]
-    gone = state is api.BackendState.GONE   # its other fields are of no use any more
-    address = None if gone else parse_address(value.get("host_port"), f"{where}.host_port")
-    started = 0.0 if gone else _figure(value.get("up_since_ms", 0), f"{where}.up_since_ms") / 1000.0
-    weight = 1.0 if gone else _figure(value.get("size", 1.0), f"{where}.size")
-    cell = 0 if gone else int(_figure(value.get("cell", 0), f"{where}.cell"))
-    return api.BackendEntry(name, state, started, _index(settings.zones, value.get("locality")), cell,
+    if not isinstance(phase, str) or phase not in STATE_BY_PHASE:
+        raise ListError(f"{where}.phase: {phase!r} is not one of {', '.join(STATE_BY_PHASE)}")
+    state = STATE_BY_PHASE[phase]
+    is_gone = state is api.BackendState.GONE    # its other fields are not used
+    address = None if is_gone else parse_address(value.get("host_port"), f"{where}.host_port")
+    started_at = 0.0 if is_gone else _number(value.get("up_since_ms", 0), f"{where}.up_since_ms") / 1000.0
+    weight = 1.0 if is_gone else _number(value.get("size", 1.0), f"{where}.size")
+    cell = 0 if is_gone else int(_number(value.get("cell", 0), f"{where}.cell"))
+    return api.BackendEntry(name, state, started_at, _index(settings.zones, value.get("locality")), cell,
                             _index(settings.kinds, value.get("flavor")), weight), address
 
 
 def parse_list(value: object, settings: api.Settings, known: dict[str, Address] | None = None,
                where: str = "list") -> Listing:
-    """A list or its changes; a member that can't be read leaves the backend as it was known."""
+    """Parse a list or its changes; raises ListError.
+
+    A member that cannot be parsed is skipped, so that the backend stays as it was.  But a whole list without a
+    backend that is `known` would mark it as removed, so such a list is rejected.
+    """
     if not isinstance(value, dict):
         raise ListError(f"{where} is not an object")
     revision, complete, members = value.get("revision"), value.get("complete"), value.get("members")
     if isinstance(revision, bool) or not isinstance(revision, int) or revision < 0:
-        raise ListError(f"{where}.revision: {revision!r} is not a version")
+        raise ListError(f"{where}.revision: {revision!r} is not a revision number")
     if not isinstance(complete, bool):
         raise ListError(f"{where}.complete: {complete!r} is neither true nor false")
     if not isinstance(members, list):
@@ -103,8 +108,8 @@
         except ListError as error:
             name = member.get("id") if isinstance(member, dict) else None
             if complete and isinstance(name, str) and name in (known or {}):
-                raise   # dropped from a whole list it would count as gone
-            complain("discovery", "left out: %s", error)
+                raise   # left out of a whole list it would count as removed
+            complain("discovery", "skipping a backend: %s", error)
             continue
         entries[entry.backend] = entry
         if address is not None:
@@ -119,156 +124,157 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, settings: api.Settings,
                  follow: Callable[[api.Roster, dict[str, Address]], None]) -> None:
         self.loop, self.address, self.settings, self.follow = loop, address, settings, follow
-        self.heard: Callable[[int], None] = lambda revision: None   # told of each answer, with news or none
-        self.known: dict[str, Address] = {}
+        self.on_answer: Callable[[int], None] = lambda revision: None   # for each answer, with changes or without
+        self.known_addresses: dict[str, Address] = {}
         self.revision: int | None = None    # of the last list from discovery itself
-        self.known_revision: int | None = None  # of a list known from before: a watch is one call, not two
-        self.backoff, self.hold = BACKOFF, HOLD_ASKED if settings.discovery == "ask" else HOLD
-        self.stopped = False
+        self.cached_revision: int | None = None     # of a cached list: with it, one call gets what is newer
+        self.backoff_s, self.hold_s = MIN_BACKOFF_S, (
+            COSTLY_WATCH_HOLD_S if settings.discovery == "ask" else WATCH_HOLD_S)
+        self.is_stopped = False
         self.transport: asyncio.Transport | None = None
-        self.connecting: asyncio.Task | None = None
+        self.connect_task: asyncio.Task | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.body: list[bytes] = []
-        self.size = 0
-        self.complete = self.keep = False
+        self.received_bytes = 0
+        self.is_complete = self.keep_alive = False
 
     def start(self) -> None:
-        """Ask at once; where asking costs and a list is known, at a time of our own, for what is newer.
+        """Send the first request at once; or, if calls are costly and a list is cached, after a random delay.
 
-        Guards discovery against a fleet that comes back at once: calls that all arrive together wait past
-        their time, fail, and have taken the service's time all the same.
+        Otherwise a fleet that starts at one time would overload discovery: calls that arrive together wait until they
+        time out, and use up the service's capacity nevertheless.
         """
-        if self.late:
-            self.revision = self.known_revision
-            self.timer = self.loop.call_later(random.uniform(0.0, self._spread()), self._ask)
+        if self.defers_first_request:
+            self.revision = self.cached_revision
+            self.timer = self.loop.call_later(random.uniform(0.0, self._fleet_spread_s()), self._request)
         else:
-            self._ask()
+            self._request()
 
     @property
-    def late(self) -> bool:
-        """Whether the first answer is not to be waited for: a list is known, and asking is put off."""
-        return self.settings.discovery == "ask" and self.known_revision is not None
+    def defers_first_request(self) -> bool:
+        """Whether there is no point in waiting for the first answer: a list is cached, and the request is delayed."""
+        return self.settings.discovery == "ask" and self.cached_revision is not None
 
-    def _spread(self) -> float:
-        """Seconds over which all ingresses' calls are spread, so that a small service can answer each."""
-        return min(TURNED_MOST, TURNED_EACH * self.settings.ingresses)
+    def _fleet_spread_s(self) -> float:
+        """Seconds over which the calls of all ingresses are spread, so that a small service can answer each."""
+        return min(MAX_REJECTED_BACKOFF_S, REJECTED_BACKOFF_PER_INGRESS_S * self.settings.ingresses)
 
     def stop(self) -> None:
-        self.stopped = True
-        self._drop()
+        self.is_stopped = True
+        self._disconnect()
 
-    def take(self, listing: Listing) -> None:
-        """Keep to a list, and tell of it."""
+    def apply(self, listing: Listing) -> None:
+        """Remember the addresses of a list, and pass it on to `follow`."""
         if listing.roster.kind is not api.RosterKind.CHANGES:
-            self.known = {}
+            self.known_addresses = {}
         if listing.roster.kind is api.RosterKind.CACHED:
-            self.known_revision = listing.roster.version
+            self.cached_revision = listing.roster.version
         for entry in listing.roster.entries:
-            self.known.pop(entry.backend, None)
-        self.known.update(listing.addresses)
+            self.known_addresses.pop(entry.backend, None)
+        self.known_addresses.update(listing.addresses)
         self.follow(listing.roster, listing.addresses)
 
-    def _drop(self) -> None:
-        """Leave the connection, whatever state it is in."""
+    def _disconnect(self) -> None:
+        """Close the connection in whatever state it is, and cancel the timer."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if self.connecting is not None:
-            self.connecting.cancel()
-            self.connecting = None
+        if self.connect_task is not None:
+            self.connect_task.cancel()
+            self.connect_task = None
         if self.transport is not None:
             transport, self.transport = self.transport, None
             transport.abort()
 
-    def _ask(self) -> None:
-        """The next call: on the open connection, or on a new one."""
-        if self.stopped:
+    def _request(self) -> None:
+        """Send the next request, on the open connection or on a new one."""
+        if self.is_stopped:
             return
         if self.timer is not None:
             self.timer.cancel()
-        wait = self.hold + SLACK if self.revision is not None else LINE_WAIT
-        self.timer = self.loop.call_later(wait, self._failed, "does not answer")
+        timeout_s = self.hold_s + ANSWER_SLACK_S if self.revision is not None else LIST_TIMEOUT_S
+        self.timer = self.loop.call_later(timeout_s, self._retry_later, "does not answer")
         if self.transport is None:
-            task = self.connecting = self.loop.create_task(
+            task = self.connect_task = self.loop.create_task(
                 self.loop.create_connection(lambda: self, *self.address))
             task.add_done_callback(self._connected)
             return
-        self.body, self.size, self.complete = [], 0, False
+        self.body, self.received_bytes, self.is_complete = [], 0, False
         self.parser = httptools.HttpResponseParser(self)
-        query = f"?from={self.revision}&hold_ms={self.hold * 1000:.0f}" if self.revision is not None else ""
+        query = f"?from={self.revision}&hold_ms={self.hold_s * 1000:.0f}" if self.revision is not None else ""
         self.transport.write(f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
     def _connected(self, task: asyncio.Task) -> None:
-        if task.cancelled() or self.connecting is not task:
+        if task.cancelled() or self.connect_task is not task:
             return
-        self.connecting = None
+        self.connect_task = None
         if (error := task.exception()) is not None:
-            self._failed(f"can't be reached ({error})")
+            self._retry_later(f"cannot be reached ({error})")
 
-    def _failed(self, what: str, turned_away: bool = False) -> None:
-        """Keep the list that there is and ask again a little later.
+    def _retry_later(self, reason: str, is_rejected: bool = False) -> None:
+        """Keep the present list and retry after a backoff, which depends on the fleet if the call was rejected.
 
-        Guards discovery against the fleet: what it turns away costs it something too, so ingresses that all
-        ask again within a second keep it overbooked, and most of them never hear of a change.
+        Rejecting a call costs discovery something, too: ingresses that all retry within a second keep it overloaded,
+        and most of them never learn of a change.
         """
-        if self.stopped:
+        if self.is_stopped:
             return
-        complain("discovery", "%s", what)
-        self._drop()
-        if turned_away:
-            self.backoff = max(self.backoff, self._spread())
-            self.revision = self.revision if self.revision is not None else self.known_revision
-        self.timer = self.loop.call_later(self.backoff * random.uniform(0.3, 1.0), self._ask)
-        self.backoff = min(TURNED_MOST if turned_away else BACKOFF_MOST, 2 * self.backoff)
+        complain("discovery", "%s", reason)
+        self._disconnect()
+        if is_rejected:
+            self.backoff_s = max(self.backoff_s, self._fleet_spread_s())
+            self.revision = self.revision if self.revision is not None else self.cached_revision
+        self.timer = self.loop.call_later(self.backoff_s * random.uniform(0.3, 1.0), self._request)
+        self.backoff_s = min(MAX_REJECTED_BACKOFF_S if is_rejected else MAX_BACKOFF_S, 2 * self.backoff_s)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        self.connecting, self.transport = None, transport
-        self._ask()
+        self.connect_task, self.transport = None, transport
+        self._request()
 
     def data_received(self, data: bytes) -> None:
         if self.transport is None:
             return
-        self.size += len(data)
+        self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            return self._failed(f"an answer can't be read ({error})")
-        if self.size > MOST_LIST:
-            return self._failed("an answer has no end")
-        if self.complete:
-            self._answered()
+            return self._retry_later(f"sent an answer that cannot be parsed ({error})")
+        if self.received_bytes > MAX_LIST_BYTES:
+            return self._retry_later("sent an answer that is too large")
+        if self.is_complete:
+            self._handle_answer()
 
     def on_body(self, body: bytes) -> None:
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        self.complete, self.keep = True, self.parser.should_keep_alive()
+        self.is_complete, self.keep_alive = True, self.parser.should_keep_alive()
 
-    def _answered(self) -> None:
+    def _handle_answer(self) -> None:
         status = self.parser.get_status_code()
         if status != 200:
-            return self._failed(f"answers {status}", turned_away=status in (429, 503))
+            return self._retry_later(f"answers {status}", is_rejected=status in (429, 503))
         try:
-            listing = parse_list(json.loads(b"".join(self.body)), self.settings, self.known)
+            listing = parse_list(json.loads(b"".join(self.body)), self.settings, self.known_addresses)
         except (ValueError, RecursionError) as error:
-            return self._failed(f"an answer can't be read ({error})")
+            return self._retry_later(f"sent an answer that cannot be parsed ({error})")
         if listing.roster.kind is api.RosterKind.CHANGES and self.revision is None:
-            return self._failed("told changes where the whole list was asked for")
+            return self._retry_later("sent changes in answer to a request for the whole list")
         if self.revision is not None and listing.roster.version < self.revision:
-            # Guards against a discovery that began anew: a watch from a version yet to come is told nothing.
-            self.revision = self.known_revision = None
-            return self._failed("tells an older version: its whole list is asked for")
-        news = listing.roster.kind is api.RosterKind.FULL or listing.roster.entries
-        self.revision, self.backoff = listing.roster.version, BACKOFF
-        self.heard(self.revision)
-        if not self.keep:
+            # Discovery has restarted with lower revisions: a watch from a future one would get no changes.
+            self.revision = self.cached_revision = None
+            return self._retry_later("sent an older revision; requesting the whole list")
+        has_changes = listing.roster.kind is api.RosterKind.FULL or listing.roster.entries
+        self.revision, self.backoff_s = listing.roster.version, MIN_BACKOFF_S
+        self.on_answer(self.revision)
+        if not self.keep_alive:
             transport, self.transport = self.transport, None
             transport.abort()
-        self._ask()     # first: a watch lapses when the next call is late
-        if news:
-            self.take(listing)
+        self._request()     # before the list is applied, as a watch lapses if the next request is late
+        if has_changes:
+            self.apply(listing)
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.transport is not None:      # else it was left on purpose
+        if self.transport is not None:      # else this side closed it
             self.transport = None
-            self._failed("closed the connection")
+            self._retry_later("closed the connection")
--- a/fennelpoint/net/flow_control.py
+++ b/fennelpoint/net/flow_control.py
@@ -8,9 +8,9 @@
 
 import asyncio
 
-from fennelpoint.body_buffering import READ, Budget
+from fennelpoint.body_buffering import READ_BYTES, Budget
 
-_shared = bytearray(READ)   # filled and emptied within one turn of the loop
+_shared = bytearray(READ_BYTES)   # filled and emptied within one turn of the loop
 _view = memoryview(_shared)
 
 
@@ -44,7 +44,7 @@
         self.pause_writing, self.resume_writing = connection.pause_writing, connection.resume_writing
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return _view[:self.connection.budget.read]
+        return _view[:self.connection.budget.read_bytes]
 
     def buffer_updated(self, count: int) -> None:
         self.connection.data_received(bytes(_view[:count]))
--- a/fennelpoint/net/graceful_shutdown.py
+++ b/fennelpoint/net/graceful_shutdown.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from fennelpoint.lifecycle import LifeCycle, Step
-from fennelpoint.net.controller_host import Host
+from fennelpoint.net.controller_host import ControllerHost
 from fennelpoint.net.server import Server
 
 LOOK = 0.05     # s between looks at what a drain or an end has left to do
@@ -16,7 +16,7 @@
 class Leaving:
     """`look` is called after each move of the life-cycle; `ended` once all is answered and written."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, life: LifeCycle, server: Server, host: Host,
+    def __init__(self, loop: asyncio.AbstractEventLoop, life: LifeCycle, server: Server, host: ControllerHost,
                  ended: Callable[[], None]) -> None:
         self.loop, self.life, self.server, self.host, self.ended = loop, life, server, host, ended
         self.looking = False
@@ -27,7 +27,7 @@
             self._look()
 
     def _look(self) -> None:
-        steps = self.life.look(time.monotonic(), len(self.server.connections), self.host.waiting)
+        steps = self.life.look(time.monotonic(), len(self.server.connections), self.host.unanswered_count)
         ends = Step.EXIT in steps
         self.looking = not self.life.keeps and not ends
         # What comes next is arranged first: a step that fails must not keep the process from its end.
--- a/fennelpoint/net/process_group.py
+++ b/fennelpoint/net/process_group.py
@@ -53,7 +53,7 @@
         for step in steps:
             if isinstance(step, Share):
                 room = plan(ingress.config.sockets, step.parts)
-                ingress.server.room, ingress.backends.most = room, room.upstream
+                ingress.server.room, ingress.backends.max_connections = room, room.upstream
                 ingress.host.post(api.Twins(step.parts))
             elif isinstance(step, Give):
                 relay.write(step.generation, tell(ingress.host.controller, step.parts))
--- a/fennelpoint/net/request_parser.py
+++ b/fennelpoint/net/request_parser.py
@@ -9,7 +9,7 @@
 from fennelpoint import interface as api
 from fennelpoint.body_buffering import Upload
 from fennelpoint.net.backends import HOP_BY_HOP
-from fennelpoint.net.controller_host import Asked
+from fennelpoint.net.controller_host import ParsedRequest
 
 MOST_LEFT_MS = 600_000  # ms; a longer wait is not meant
 MOST_CUSTOMER = 1 << 33
@@ -55,9 +55,9 @@
 
 def framing(body: bytes, upload: Upload | None) -> bytes:
     """The field that tells a backend where the body ends."""
-    if upload is not None and upload.length is None:
+    if upload is not None and upload.content_length is None:
         return b"transfer-encoding: chunked"
-    return b"content-length: %d" % (len(body) if upload is None else upload.length)
+    return b"content-length: %d" % (len(body) if upload is None else upload.content_length)
 
 
 class Reader:
@@ -95,7 +95,7 @@
 
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes, upload: Upload | None = None
-    ) -> Asked:
+    ) -> ParsedRequest:
         """A request as the module is asked; raises BadRequest, and Reply where it is answered here.
 
         With an `upload` the body is still to come whole.
@@ -115,7 +115,7 @@
         if not safe:
             lines.append(framing(body, upload))
         customer = self._customer(self._needed(found, b"cookie"))
-        return Asked(
+        return ParsedRequest(
             txn,
             cls,
             plan,
--- a/fennelpoint/net/route_matching.py
+++ b/fennelpoint/net/route_matching.py
@@ -11,7 +11,7 @@
 from fennelpoint import interface as api
 from fennelpoint.body_buffering import Upload
 from fennelpoint.component import Carrier, Part
-from fennelpoint.net.controller_host import Asked
+from fennelpoint.net.controller_host import ParsedRequest
 from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
 from fennelpoint.operator_config import Routes, read_operator
 from fennelpoint.rate_limited_log import log
@@ -38,7 +38,7 @@
         self.table = table
 
     def read(self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes,
-             upload: Upload | None = None) -> Asked:
+             upload: Upload | None = None) -> ParsedRequest:
         if url == b"*" and method == b"OPTIONS":
             raise Reply(200)
         try:
@@ -83,7 +83,7 @@
         if method != b"GET":
             lines.append(framing(body, upload))
         safe = self.settings.classes[route.cls].effect is api.Effect.SAFE
-        return Asked(found[b"x-txn"], route.cls, plan, customer, left, units, width, first,
+        return ParsedRequest(found[b"x-txn"], route.cls, plan, customer, left, units, width, first,
                      found.get(b"x-resent") == b"1", not safe, b"\r\n".join(lines) + b"\r\n", body,
                      bare, upload)
 
--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -17,11 +17,11 @@
 
 import httptools
 
-from fennelpoint.body_buffering import MOST, STOPPED, Account, Pace, Upload
+from fennelpoint.body_buffering import BODY_STALL_TIMEOUT_S, MAX_BODY_BYTES, Account, Pace, Upload
 from fennelpoint.file_descriptors import YOUNG, Leaves, Plan, who_leaves
 from fennelpoint.lifecycle import LifeCycle
-from fennelpoint.net.backends import HOP_BY_HOP, Answer
-from fennelpoint.net.controller_host import Asked, Host, Source
+from fennelpoint.net.backends import HOP_BY_HOP, Response
+from fennelpoint.net.controller_host import ControllerHost, ParsedRequest, Source
 from fennelpoint.net.flow_control import Paced
 from fennelpoint.net.request_parser import BadRequest, Reader, Reply
 
@@ -59,7 +59,7 @@
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.waiting: deque[tuple[Asked | BadRequest | Reply | bytes, bool]] = deque()
+        self.waiting: deque[tuple[ParsedRequest | BadRequest | Reply | bytes, bool]] = deque()
         self.open: int | None = None    # the id of the request that is being served
         self.deaf = False               # nothing more is read: an error was found, or the end announced
         self.keep = True                # the request at hand lets the connection stay
@@ -113,7 +113,7 @@
     def resume_writing(self) -> None:
         self.choked = False
         if self.source is not None:
-            self.account.hold(self.transport.get_write_buffer_size())
+            self.account.set_used(self.transport.get_write_buffer_size())
             self.source.resume()
         self._next()
 
@@ -155,15 +155,15 @@
         if self.expects and self.open is None and not self.waiting:
             self.expects, self.pace = False, Pace(now)
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        self.pace.got = self.body_size
+        self.pace.received_bytes = self.body_size
         if self.upload is None and self.place is not self.server.bodies and self.open is None:
             self._stand(self.server.bodies)
         if self.upload is not None:
             if self.open is not None:
-                self.server.host.came(self.open)
+                self.server.host.body_arrived(self.open)
         else:
-            self.account.hold(self.body_size)
-            if self.body_size >= self.budget.held and self.open is None and not self.waiting:
+            self.account.set_used(self.body_size)
+            if self.body_size >= self.budget.upload_buffer_bytes and self.open is None and not self.waiting:
                 self._pass_on(now)
         if not self.deaf:   # else the rest is read and dropped, so that the answer isn't lost with a reset
             self._throttle(now)
@@ -178,20 +178,20 @@
         upload.add(b"".join(self.body))
         self.body, self.upload = [], upload
         if isinstance(asked, Reply):    # the rest of its body is read and dropped
-            upload.drop()
+            upload.discard()
             self.account.close()
         else:
-            asked.coming = self.pace.expected(now, upload.missing)
-            self.account.flow()
+            asked.upload_expected_s = self.pace.expected_s(now, upload.missing_bytes)
+            self.account.start_stream()
         self.waiting.append((asked, self.parser.should_keep_alive()))
 
     def _throttle(self, now: float) -> None:
         """Read on only while there is room for what comes."""
         if self.upload is not None:
-            self.account.hold(self.upload.held)
-            full = self.upload.held >= self.budget.held
+            self.account.set_used(self.upload.pending_bytes)
+            full = self.upload.pending_bytes >= self.budget.upload_buffer_bytes
         else:   # it waits for the requests before it
-            full = self.in_body and self.body_size >= self.budget.held
+            full = self.in_body and self.body_size >= self.budget.upload_buffer_bytes
         if full and not self.halted and not self.lost:
             self.halted = True
             self.transport.pause_reading()
@@ -206,11 +206,11 @@
             if self.pace is not None:
                 self.pace.resume(now)
 
-    def hung_up(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed its side, also where that has not been read yet."""
         return self.lost or bool(hung_up([self]))
 
-    def taken_on(self) -> None:
+    def upload_written(self) -> None:
         """Some of the body that is passed on has left us."""
         if self.upload is not None or self.halted:
             self._throttle(time.monotonic())
@@ -251,14 +251,14 @@
         if length is not None and (not length.isdigit() or len(length) > 18):
             return self._fault(BadRequest("its length is none"))
         self.length = None if length is None else int(length)
-        if self.length is not None and self.length > MOST:
+        if self.length is not None and self.length > MAX_BODY_BYTES:
             self._fault(BadRequest("its body is too large", 413))
 
     def on_body(self, body: bytes) -> None:
         if self.deaf:
             return
         self.body_size += len(body)
-        if self.body_size > MOST:
+        if self.body_size > MAX_BODY_BYTES:
             return self._fault(BadRequest("its body is too large", 413))
         if self.upload is not None:
             self.upload.add(body)
@@ -270,9 +270,9 @@
         if self.deaf:
             return
         if self.upload is not None:
-            self.upload.whole = True
+            self.upload.is_complete = True
             if self.open is not None:
-                self.server.host.came(self.open)
+                self.server.host.body_arrived(self.open)
             return self._uploaded()
         keep = self.parser.should_keep_alive()
         if self.method_url == b"/ready" and self.parser.get_method() == b"GET":
@@ -290,12 +290,12 @@
             return      # the usual client: one at a time
         # Not the one whose turn it is: a large body that came whole is no reason to refuse what follows it.
         rest = islice(self.waiting, self.open is None, None)
-        behind = sum(len(asked.body) for asked, _ in rest if isinstance(asked, Asked))
+        behind = sum(len(asked.body) for asked, _ in rest if isinstance(asked, ParsedRequest))
         if len(self.waiting) > MOST_WAITING or behind > MOST_BEHIND:
             self.waiting.pop()
             self._fault(BadRequest("too many requests at once"))
 
-    def _read(self, body: bytes, upload: Upload | None = None) -> Asked | Reply:
+    def _read(self, body: bytes, upload: Upload | None = None) -> ParsedRequest | Reply:
         try:
             return self.server.reader.read(self.parser.get_method(), self.method_url, self.headers, body,
                                            upload)
@@ -321,10 +321,10 @@
             if self.upload is not None and self.open is not None:
                 # Half a request: it never came whole, so it is owed no more than this word.
                 self.upload = None
-                self.server.host.gone(self.open)
+                self.server.host.client_left(self.open)
                 self.open = None
                 if self.source is not None:
-                    return self.broken()
+                    return self.abort_response()
                 self.account.close()
             self.waiting.append((fault, False))
 
@@ -343,58 +343,58 @@
             elif isinstance(what, bytes):
                 ready = self.server.life.ready
                 self._write(200 if ready else 503, (), b"ready\n" if ready else b"not ready\n", self.keep)
-            elif self.server.host.is_open(what.txn):
+            elif self.server.host.is_open(what.request_id):
                 # Guards against a second copy in another's name: an id is new with every request.
                 self._write(409, (), b"this id is open\n", keep=False)
-            elif self.server.life.too_late(what.coming + what.time_left, time.monotonic()):
-                self.refused(ELSEWHERE_ADVICE)
+            elif self.server.life.too_late(what.upload_expected_s + what.time_left, time.monotonic()):
+                self.send_refusal(ELSEWHERE_ADVICE)
             else:
                 self._stand(None)
-                self.bare = what.bare
+                self.bare = what.is_head
                 self.open = -1      # in case the answer comes before the id is known
                 request = self.server.host.admit(self, what)
                 self.open = request if self.open == -1 else self.open
                 if self.upload is not None and self.open is not None:
                     self._stand(self.server.bodies)     # it has to keep its pace
 
-    def served(self, answer: Answer) -> None:
+    def send_response(self, answer: Response) -> None:
         self._answer(answer.status, [f for f in answer.headers if f[0] not in HOP_BY_HOP], answer.body)
 
-    def refused(self, retry_after: float, status: int = 503) -> None:
+    def send_refusal(self, retry_after: float, status: int = 503) -> None:
         advice = [(b"retry-after", b"%.3f" % retry_after)] if retry_after > 0.0 else []
         self._answer(status, advice, b"refused: trying again is harmless\n")
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         self._answer(502, [], b"failed\n")
 
-    def begin(self, answer: Answer, source: Source) -> None:
+    def start_response(self, answer: Response, source: Source) -> None:
         """The head of an answer that is passed on as it comes, from this source."""
         keep, headers = self._stays(self.keep), [f for f in answer.headers if f[0] not in HOP_BY_HOP]
-        self.chunks = answer.length is None and self.parser.get_http_version() != "1.0"
-        if answer.length is not None:
-            headers.append((b"content-length", b"%d" % answer.length))
+        self.chunks = answer.content_length is None and self.parser.get_http_version() != "1.0"
+        if answer.content_length is not None:
+            headers.append((b"content-length", b"%d" % answer.content_length))
         elif self.chunks:
             headers.append((b"transfer-encoding", b"chunked"))
         else:
             keep = False    # its end is the connection's
-        self.keep, self.source, self.framed = keep, source, answer.length is not None or self.chunks
-        self.account.flow()
+        self.keep, self.source, self.framed = keep, source, answer.content_length is not None or self.chunks
+        self.account.start_stream()
         self.passed = self.drained = 0
         self.drained_at = time.monotonic()
         self.server.flowing[self] = None
         self.transport.write(self._head(answer.status, headers, keep))
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         if self.lost or self.bare or not data:
             return
-        if (mark := self.budget.mark) != self.mark:
+        if (mark := self.budget.high_water_bytes) != self.mark:
             self.mark = mark
             self.transport.set_write_buffer_limits(high=mark)
         self.passed += len(data)
         self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunks else data)
-        self.account.hold(self.transport.get_write_buffer_size())
+        self.account.set_used(self.transport.get_write_buffer_size())
 
-    def done(self) -> None:
+    def end_response(self) -> None:
         """The answer that was passed on has come whole."""
         self._flown()
         if self.lost:
@@ -403,7 +403,7 @@
             self.transport.write(b"0\r\n\r\n")
         self._after(self.keep)
 
-    def broken(self) -> None:
+    def abort_response(self) -> None:
         """The answer that is passed on will not come whole: it ends so that the client can tell."""
         self._flown()
         if self.lost:
@@ -428,14 +428,14 @@
         left = self.transport.get_write_buffer_size()
         if not left or self.passed - left > self.drained:
             self.drained, self.drained_at = self.passed - left, now
-        return now - self.drained_at < STOPPED
+        return now - self.drained_at < BODY_STALL_TIMEOUT_S
 
     def _answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         self.open = None
         if self.upload is not None:
-            self.upload.drop()
+            self.upload.discard()
             self._throttle(time.monotonic())
-        if self.account.bytes or self.account.flowing:
+        if self.account.used_bytes or self.account.is_streaming:
             self.account.close()
         if not self.lost:
             self._write(status, headers, body, self.keep)
@@ -504,7 +504,7 @@
         self.server.connections.discard(self)
         self._stand(None)
         if self.open is not None and self.open > 0:
-            self.server.host.gone(self.open)
+            self.server.host.client_left(self.open)
         self.open = self.source = self.upload = None
         self.account.close()
         self.server.flowing.pop(self, None)
@@ -546,7 +546,7 @@
 class Server:
     """The listening socket and its connections."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, host: Host, room: Plan, life: LifeCycle,
+    def __init__(self, loop: asyncio.AbstractEventLoop, host: ControllerHost, room: Plan, life: LifeCycle,
                  reader: Reader | None = None) -> None:
         self.loop, self.host, self.room, self.life = loop, host, room, life
         self.reader = reader or Reader(host.settings)
@@ -598,7 +598,7 @@
                 connection.overdue()
         for connection in [c for c in self.begun if c.since < now - self.head_timeout]:
             connection.overdue()
-        for connection in [c for c in self.bodies if c.pace is not None and c.pace.late(now)]:
+        for connection in [c for c in self.bodies if c.pace is not None and c.pace.is_too_slow(now)]:
             connection.overdue()
         for connection in [c for c in self.flowing if not c.takes(now)]:
             connection.transport.abort()
--- a/fennelpoint/system/proxy/controller_host.py
+++ b/fennelpoint/system/proxy/controller_host.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from fennelpoint import interface as api
-from fennelpoint.net.backends import Answer, Backends, Exchange, UpstreamConnection
-from fennelpoint.net.controller_host import Host, Ticket
+from fennelpoint.net.backends import Backends, Exchange, Response, UpstreamConnection
+from fennelpoint.net.controller_host import ControllerHost, OpenRequest
 from fennelpoint.system.proxy.events import UnitsNeeded
 
 KEEP_ALIVE_FRACTION = 0.6   # of the time for which a backend keeps an idle connection open
@@ -21,7 +21,7 @@
         has_id = has_seal = is_not_executed = False
         for name, value in headers:
             if name == b"x-attempt-id":
-                if value != exchange.txn:
+                if value != exchange.request_id:
                     return None     # a late answer to another request
                 has_id = True
             elif name == b"x-server-seal":
@@ -36,50 +36,51 @@
             return api.Status.OK if has_id and has_seal else None
         return api.Status.ERROR if has_id and status >= 300 else None
 
-    def names(self, exchange: Exchange, headers: list[tuple[bytes, bytes]]) -> bool:
-        return (b"x-attempt-id", exchange.txn) in headers
+    def has_id(self, exchange: Exchange, headers: list[tuple[bytes, bytes]]) -> bool:
+        return (b"x-attempt-id", exchange.request_id) in headers
 
-    def tells(self, exchange: Exchange, connection: UpstreamConnection) -> bool:
+    def can_match(self, exchange: Exchange, connection: UpstreamConnection) -> bool:
         """Guards requests that may run once: a late copy of an earlier refusal would deny that a request has run.
 
         Such a copy bears the id of the connection's previous request, which may be an earlier attempt of the same
         request and so share its id, or it bears no id.
         """
-        return not exchange.once or not (connection.nameless or connection.last_txn == exchange.txn)
+        return not exchange.at_most_once or not (
+            connection.last_lacked_id or connection.last_request_id == exchange.request_id)
 
-    def keeps_for(self, headers: list[tuple[bytes, bytes]]) -> float:
+    def keep_alive_s(self, headers: list[tuple[bytes, bytes]]) -> float:
         for name, value in headers:
             if name == b"keep-alive":
                 for parameter in value.split(b","):
                     key, _, number = parameter.strip().partition(b"=")
                     if key.lower() == b"timeout" and number.isdigit():
                         return KEEP_ALIVE_FRACTION * int(number)
-        return super().keeps_for(headers)
+        return super().keep_alive_s(headers)
 
 
-class ProxyHost(Host):
+class ProxyHost(ControllerHost):
     """Returns a backend's own refusal or failure to the client unchanged if no better answer arrives."""
 
     def __init__(self, *arguments: object) -> None:
         self.request_units: Callable[[int, float], None] = lambda customer, units: None
         super().__init__(*arguments)
-        self._do[UnitsNeeded] = lambda action: self.request_units(action.customer, action.units)
+        self._action_handlers[UnitsNeeded] = lambda action: self.request_units(action.customer, action.units)
 
     @staticmethod
-    def _backend_failure(ticket: Ticket) -> Answer | None:
+    def _backend_failure(open_request: OpenRequest) -> Response | None:
         """A backend's own failure, for the client; none if its status would promise that a write has not run."""
-        last = ticket.last
-        return None if last is not None and ticket.asked.is_write and last.status in NOT_EXECUTED else last
+        last = open_request.last_failure
+        return None if last is not None and open_request.parsed.is_write and last.status in NOT_EXECUTED else last
 
     def _refuse(self, refuse: api.Refuse) -> None:
-        if (ticket := self.tickets.get(refuse.request)) is not None:
-            if (last := self._backend_failure(ticket)) is not None:
-                return self._finish(ticket, lambda client: client.served(last))
+        if (open_request := self.open_requests.get(refuse.request)) is not None:
+            if (last := self._backend_failure(open_request)) is not None:
+                return self._finish(open_request, lambda client: client.send_response(last))
             status = TOO_MANY_REQUESTS if refuse.over else 503
-            self._finish(ticket, lambda client: client.refused(refuse.retry_after, status))
+            self._finish(open_request, lambda client: client.send_refusal(refuse.retry_after, status))
 
     def _fail(self, fail: api.Fail) -> None:
-        if (ticket := self.tickets.get(fail.request)) is not None:
-            if (last := self._backend_failure(ticket)) is not None:
-                return self._finish(ticket, lambda client: client.served(last))
-            self._finish(ticket, lambda client: client.failed())
+        if (open_request := self.open_requests.get(fail.request)) is not None:
+            if (last := self._backend_failure(open_request)) is not None:
+                return self._finish(open_request, lambda client: client.send_response(last))
+            self._finish(open_request, lambda client: client.send_failure())
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -76,7 +76,7 @@
         self.host = ProxyHost(loop, initial, self.random.getrandbits(32), self.backends, None, self.budget,
                               ProxyController)
         self.host.post(RetryRule(bounds.retry_budget_ratio, bounds.budget_window_s))
-        self.host.gate = self.has_valid_lease
+        self.host.may_send = self.has_valid_lease
         self.host.request_units = self.request_units
         self.needed_units: dict[str, int] = {}  # by tenant, for the next request
         self.reader = ProxyReader(self.update_catalogue, self.random, self.has_valid_lease)
--- a/fennelpoint/system/proxy/request_parser.py
+++ b/fennelpoint/system/proxy/request_parser.py
@@ -15,7 +15,7 @@
 from fennelpoint import interface as api
 from fennelpoint.body_buffering import Upload
 from fennelpoint.net.backends import HOP_BY_HOP
-from fennelpoint.net.controller_host import Asked
+from fennelpoint.net.controller_host import ParsedRequest
 from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
 from fennelpoint.system.config_versions import Holder, Route, Version
 from fennelpoint.system.proxy.queue_timeout import MAX_RETRY_AFTER_S
@@ -32,12 +32,12 @@
 
 
 @dataclass(slots=True)
-class ForwardedRequest(Asked):
+class ForwardedRequest(ParsedRequest):
     """A request as it is sent to a backend: it names the backend's identity, so that no other instance runs it."""
 
-    def render(self, left: float, backend: object = None) -> bytes:
+    def render(self, left_s: float, backend: object = None) -> bytes:
         return b"%bX-Deadline-Remaining: %d\r\nX-Expected-Instance: %b\r\n\r\n%b" % (
-            self.head, max(1, int(left * 1000)), str(backend).encode(), self.body)
+            self.head, max(1, int(left_s * 1000)), str(backend).encode(), self.body)
 
 
 class ProxyReader(Reader):
@@ -73,7 +73,7 @@
         return counts
 
     def read(self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes,
-             upload: Upload | None = None) -> Asked:
+             upload: Upload | None = None) -> ParsedRequest:
         """Parse one request; raises `BadRequest`, or `Reply` with the answer to a request that is not forwarded."""
         single_headers: dict[bytes, bytes] = {}
         options: set[bytes] = set()
--- a/fennelpoint/xds/server.py
+++ b/fennelpoint/xds/server.py
@@ -166,7 +166,7 @@
         """Listen and begin to follow discovery; the port."""
         loop = asyncio.get_running_loop()
         self.discovery = Discovery(loop, self.discovery_address, self.settings, self._told)
-        self.discovery.heard = self._heard
+        self.discovery.on_answer = self._heard
         self.discovery.start()
         size, wait = self.control.max_message_bytes, self.control.keepalive_s
         self.server = grpc.aio.server(options=[("grpc.max_receive_message_length", size),
--- a/tests/routes/test_same_decisions.py
+++ b/tests/routes/test_same_decisions.py
@@ -76,16 +76,16 @@
             return actions
 
         host.controller.handle = recorded
-        host._do[api.SetTimer] = lambda timer: heapq.heappush(
+        host._action_handlers[api.SetTimer] = lambda timer: heapq.heappush(
             self.timers, (self.now + timer.delay, timer.token))
 
     def quiet(self) -> bool:
         """Nothing is out at a backend, and nothing waits to be told."""
         host = self.made.ingress.host
-        return not any(t.out for t in host.tickets.values()) and not host._events
+        return not any(t.exchanges for t in host.open_requests.values()) and not host._events
 
     def calls(self) -> int:
-        return sum(call.tell is not None for call in self.made.ingress.counter.told)
+        return sum(call.on_reply is not None for call in self.made.ingress.counter.open_calls)
 
     async def request(self, data: bytes) -> bytes:
         """One request to its answer: counter calls end and timers ring one by one, when all is quiet."""
@@ -100,7 +100,7 @@
                 replies = self.replies
                 self.made.count.turns.release()
                 await until(lambda replies=replies: self.replies != replies)
-            elif not host.waiting:
+            elif not host.unanswered_count:
                 break
             else:
                 self.ring(self.timers[0][0])
--- a/tests/routes/test_serving.py
+++ b/tests/routes/test_serving.py
@@ -106,7 +106,7 @@
     async def test(made, backend) -> None:
         line, fields, _ = await ask(made, data)
         assert int(line.split()[1]) == status and fields["connection"] == "close"
-        assert not backend.seen and not made.ingress.host.tickets
+        assert not backend.seen and not made.ingress.host.open_requests
 
     play(tmp_path, test)
 
@@ -202,7 +202,7 @@
         reader, writer = await made.connect()
         writer.write(asked("POST", "/v1/book?seats=2", X_Remaining_Ms="20000"))
         await until(lambda: backend.seen)
-        (ticket,) = made.ingress.host.tickets.values()
+        (ticket,) = made.ingress.host.open_requests.values()
         path.write_text(path.read_text().replace("/book:", "/other:").replace(
             "/search: {post: {x-larchwing: {effect: safe}", "/book: {post: {x-larchwing: {effect: safe}"))
         made.ingress.reload()
@@ -211,7 +211,7 @@
         backend.writers[0].transport.abort()
         assert (await read_message(reader))[0].split()[1] == "502"
         assert [line for line, _, _ in backend.seen] == ["POST /v1/book?seats=2 HTTP/1.1"]
-        assert (ticket.asked.cls, ticket.asked.units) == (1, 2.0)
+        assert (ticket.parsed.cls, ticket.parsed.units) == (1, 2.0)
         writer.close()
 
     play(tmp_path, test)
--- a/tests/routes/test_surge.py
+++ b/tests/routes/test_surge.py
@@ -115,13 +115,14 @@
                 path.write_text(text(BODIES[number % len(BODIES)], HEAD))
                 made.ingress.reload()
                 await until(lambda number=number: follower.changes.version == number + 1, 20.0)
-                tickets = host.tickets.values()     # those that the change has met
-                surge.met_out += sum(bool(t.out) for t in tickets)
-                surge.met_held += sum(t.client is not None and not t.out for t in tickets)
+                tickets = host.open_requests.values()     # those that the change has met
+                surge.met_out += sum(bool(t.exchanges) for t in tickets)
+                surge.met_held += sum(t.client is not None and not t.exchanges for t in tickets)
             await until(lambda: surge.number >= REQUESTS, 60.0)
             surge.stop = True
             await asyncio.gather(*clients)
-            await until(lambda: not host.tickets and not any(c.tell for c in made.ingress.counter.told))
+            await until(lambda: not host.open_requests and not any(
+                c.on_reply for c in made.ingress.counter.open_calls))
             customers = host.controller.customers.values()
             untold = sum(c.fresh + (c.calling or 0.0) for c in customers)
             told = sum(total for name, total in made.count.totals.items() if int(name) < SPARED)
@@ -129,7 +130,7 @@
 
     run(play(), 120.0)
     assert surge.number >= REQUESTS and all(len(s) == 1 for s in surge.statuses.values())
-    by_txn = {asked.txn.decode(): (request, asked) for request, asked in surge.asked.items()}
+    by_txn = {asked.request_id.decode(): (request, asked) for request, asked in surge.asked.items()}
     # What was charged is what came to a backend, at the units that its request was read with.
     assert {by_txn[txn][0] for txn in surge.came} == set(surge.charged)
     assert {0.5, 1.0, 2.0, 3.0} == {asked.units for _, asked in by_txn.values()}
--- a/tests/routes/test_under_change.py
+++ b/tests/routes/test_under_change.py
@@ -48,7 +48,7 @@
             def handled(event, now):
                 actions = handle(event, now)
                 sent = [a.request for a in actions if isinstance(a, api.Send)]
-                charged.extend(host.tickets[request].asked.units for request in sent)
+                charged.extend(host.open_requests[request].parsed.units for request in sent)
                 return actions
 
             host.controller.handle = handled
@@ -70,8 +70,8 @@
             if state == "held":
                 await until(lambda: host.last_id == 5 and len(charged) == 4)
                 await reload()
-                (ticket,) = host.tickets.values()
-                assert not ticket.out and len(charged) == 4     # held before the change and after it
+                (ticket,) = host.open_requests.values()
+                assert not ticket.exchanges and len(charged) == 4     # held before the change and after it
             elif state == "out":
                 await until(lambda: backend.seen)
                 await reload()
@@ -86,7 +86,8 @@
             assert status == ("404" if change == "gone" else "200")
             assert len(charged) == len(backend.seen) == (5 if state == "held" else 1) + (change != "gone")
             assert change == "gone" or charged[-1] == (3.0 if change == "units" else 1.0)
-            await until(lambda: not host.tickets and not any(c.tell for c in made.ingress.counter.told))
+            await until(lambda: not host.open_requests and not any(
+                c.on_reply for c in made.ingress.counter.open_calls))
             untold = sum(c.fresh + (c.calling or 0.0) for c in host.controller.customers.values())
             told = sum(total for name, total in made.count.totals.items() if int(name) < SPARED)
             assert told + untold == pytest.approx(sum(charged))
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -115,9 +115,9 @@
 def test_judgement_of_answers(status, fields, expected) -> None:
     pool = ProxyBackends(asyncio.new_event_loop(), 10, 0.1, 0.0, Budget(1 << 20))
     exchange = Exchange(lambda: b"", lambda status, answer: None)
-    exchange.txn = b"i1"
+    exchange.request_id = b"i1"
     assert pool.judge(exchange, status, list(fields.items())) is expected
-    assert pool.keeps_for([(b"keep-alive", b"timeout=10, max=5")]) == 6.0
+    assert pool.keep_alive_s([(b"keep-alive", b"timeout=10, max=5")]) == 6.0
 
 
 class Proxy:
--- a/tests/system/test_reused_addresses.py
+++ b/tests/system/test_reused_addresses.py
@@ -81,7 +81,7 @@
         request = self.reader.read(b"POST", f"/{SERVICE_OF[backend]}/{number}".encode(), fields, b"")
         ended = asyncio.get_running_loop().create_future()
         exchange = Exchange(lambda: request.render(0.5, backend), lambda status, answer: ended.set_result(status))
-        exchange.txn, exchange.once = b"i%d" % number, True
+        exchange.request_id, exchange.at_most_once = b"i%d" % number, True
         self.pool.begin(exchange, backend)
         return ended
 
--- a/tests/system/test_whose_answer.py
+++ b/tests/system/test_whose_answer.py
@@ -7,8 +7,8 @@
 
 from fennelpoint import interface as api
 from fennelpoint.body_buffering import Budget
-from fennelpoint.net.backends import Answer, Exchange
-from fennelpoint.net.controller_host import Asked, Ticket
+from fennelpoint.net.backends import Exchange, Response
+from fennelpoint.net.controller_host import OpenRequest, ParsedRequest
 from fennelpoint.system.calls import find
 from fennelpoint.system.http_server import Asking, Reply, Visit, Web
 from fennelpoint.system.proxy.controller_host import ProxyBackends, ProxyHost
@@ -56,7 +56,7 @@
     ended = asyncio.get_running_loop().create_future()
     exchange = Exchange(lambda: b"POST /x HTTP/1.1\r\nX-Attempt-Id: %b\r\n\r\n" % id,
                         lambda status, answer: ended.set_result(status))
-    exchange.txn, exchange.once, exchange.may = id, once, may
+    exchange.request_id, exchange.at_most_once, exchange.may_send = id, once, may
     pool.begin(exchange, "b")
     return await ended
 
@@ -106,10 +106,10 @@
     class Client:
         got = None
 
-        def served(self, answer: Answer) -> None:
+        def send_response(self, answer: Response) -> None:
             self.got = answer.status
 
-        def failed(self) -> None:
+        def send_failure(self) -> None:
             self.got = "failed"
 
     async def run() -> None:
@@ -120,8 +120,8 @@
         pool = ProxyBackends(loop, 10, 0.5, 0.0, Budget(1 << 20))
         host = ProxyHost(loop, given, 1, pool, None, Budget(1 << 20))
         client = Client()
-        asked = Asked(b"i1", 0, 0, 0, 1.0, 1.0, 1.0, 0.0, False, write, b"", b"")
-        host.tickets[1] = Ticket(1, asked, client, 1.0, last=Answer(status, [], b""))
+        asked = ParsedRequest(b"i1", 0, 0, 0, 1.0, 1.0, 1.0, 0.0, False, write, b"", b"")
+        host.open_requests[1] = OpenRequest(1, asked, client, 1.0, last_failure=Response(status, [], b""))
         host._fail(api.Fail(1))
         assert client.got == expected
     asyncio.run(run())
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from fennelpoint.body_buffering import MOST
+from fennelpoint.body_buffering import MAX_BODY_BYTES
 from fennelpoint.net.backends import UpstreamConnection
-from fennelpoint.net.controller_host import LEFT_AT_WORK
+from fennelpoint.net.controller_host import ABANDONED_WORK_TIMEOUT_S
 from fennelpoint.net.server import RESET
 from fennelpoint.testing import Backend, Fake, ask, read_message, request, run, until, world
 
@@ -38,7 +38,7 @@
             await until(lambda: backend.began)
             writer.transport.abort()
             await until(lambda: not made.ingress.server.connections)
-            await until(lambda: backend.ended and not made.ingress.host.tickets, LEFT_AT_WORK)
+            await until(lambda: backend.ended and not made.ingress.host.open_requests, ABANDONED_WORK_TIMEOUT_S)
             assert made.ingress.host.controller.fleet.out == 0
 
     run(play())
@@ -54,7 +54,7 @@
             with socket.create_connection(made.address) as client:  # all before the ingress has a turn
                 client.sendall(request(lane, left=60_000))
             await until(lambda: made.ingress.host.last_id > before)
-            await until(lambda: not made.ingress.server.connections and not made.ingress.host.tickets)
+            await until(lambda: not made.ingress.server.connections and not made.ingress.host.open_requests)
             await ask(made, request(path="/next"))
             assert [line.split()[1] for line, _, _ in backend.seen] == ["/before", "/next"]
 
@@ -63,15 +63,15 @@
 
 def test_an_attempt_that_may_run_once_only_runs_on_after_its_client_left():
     async def play() -> None:
-        backend = Backend(delay=LEFT_AT_WORK)
+        backend = Backend(delay=ABANDONED_WORK_TIMEOUT_S)
         async with world(backend) as made:
             _, writer = await made.connect()
             writer.write(request("book", left=60_000))
             await until(lambda: backend.seen)
             writer.transport.abort()
             await until(lambda: not made.ingress.server.connections)
-            assert made.ingress.host.tickets
-            await until(lambda: not made.ingress.host.tickets)
+            assert made.ingress.host.open_requests
+            await until(lambda: not made.ingress.host.open_requests)
             assert backend.opened == 1 and made.ingress.host.controller.fleet.known["s-0"].fails == 0
 
     run(play())
@@ -87,12 +87,12 @@
 
         async with world(Fake(take_nothing)) as made:
             _, writer = await made.connect()
-            writer.write(request("book", bytes(min(MOST, 32 * MB)), left=60_000))
+            writer.write(request("book", bytes(min(MAX_BODY_BYTES, 32 * MB)), left=60_000))
             await until(lambda: any(c.halted for c in made.ingress.server.connections))
             # A close alone would wait behind the rest of the body, which nobody reads.
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             writer.transport.abort()
-            await until(lambda: not made.ingress.host.tickets, 2 * LEFT_AT_WORK)
+            await until(lambda: not made.ingress.host.open_requests, 2 * ABANDONED_WORK_TIMEOUT_S)
 
     run(play())
 
@@ -115,7 +115,7 @@
             await connecting.wait()
             writer.transport.abort()
             await until(lambda: not made.ingress.server.connections)
-            await until(lambda: not made.ingress.host.tickets, LEFT_AT_WORK)
+            await until(lambda: not made.ingress.host.open_requests, ABANDONED_WORK_TIMEOUT_S)
             go_on.set()
             assert made.ingress.host.controller.fleet.known["s-0"].fails == 0
             monkeypatch.undo()
@@ -135,13 +135,13 @@
 
             def give_up(connection, transport) -> None:
                 made_before(connection, transport)
-                for task in pool.connecting:
+                for task in pool.connect_tasks:
                     task.cancel()
 
             monkeypatch.setattr(UpstreamConnection, "connection_made", give_up)
             line, _, _ = await asyncio.wait_for(ask(made, request("book", left=60_000)), 5.0)
             assert line.split()[1] == "502"  # it may have run
-            assert not pool.all and not pool.connecting and not made.ingress.host.tickets
+            assert not pool.all and not pool.connect_tasks and not made.ingress.host.open_requests
 
     run(play())
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list of backends: what is told, and what is kept where nothing sensible is."""
+"""The discovery client: parsing of lists, and the list that stays in use when discovery fails."""
 
 import asyncio
 import json
@@ -29,14 +29,14 @@
     return {"revision": revision, "complete": complete, "members": list(members)}
 
 
-@pytest.mark.parametrize("value, says", [
+@pytest.mark.parametrize("value, message", [
     (5, "is not an object"),
     (listing(revision="x"), "revision"),
     (listing(complete=1), "complete"),
     ({"revision": 1, "complete": True}, "members"),
 ])
-def test_list_that_cannot_be_read_is_refused_by_the_name_of_its_field(value, says):
-    with pytest.raises(ListError, match=says):
+def test_a_malformed_list_is_rejected_with_the_name_of_its_field(value, message):
+    with pytest.raises(ListError, match=message):
         parse_list(value, from_json(SETTINGS))
 
 
@@ -44,15 +44,15 @@
     7, {**member("b", ADDRESS), "phase": "asleep"}, {**member("b", ADDRESS), "phase": ["up"]},
     member("b", "somewhere"), member("b", "127.0.0.1:0"), member("b", "127.0.0.900:80"),
     {**member("b", ADDRESS), "size": float("nan")}, {**member("b", ADDRESS), "up_since_ms": "now"}])
-def test_member_that_cannot_be_read_does_not_take_the_others_along(bad):
-    told = parse_list(listing(member("a", ADDRESS), bad), from_json(SETTINGS))
-    assert [e.backend for e in told.roster.entries] == ["a"]
-    if isinstance(bad, dict):   # unless the whole list would then count it as gone
+def test_a_malformed_member_does_not_affect_the_others(bad):
+    parsed = parse_list(listing(member("a", ADDRESS), bad), from_json(SETTINGS))
+    assert [e.backend for e in parsed.roster.entries] == ["a"]
+    if isinstance(bad, dict):   # but a known backend must not count as removed
         with pytest.raises(ListError, match=r"members\[1\]"):
             parse_list(listing(member("a", ADDRESS), bad), from_json(SETTINGS), {"b": ("127.0.0.1", 80)})
 
 
-def test_entry_as_the_module_is_told_it():
+def test_the_fields_of_a_parsed_entry():
     (entry,) = parse_list(listing(member("a", ADDRESS, "draining", 2500)), from_json(SETTINGS)).roster.entries
     assert (entry.state, entry.started_at, entry.zone, entry.kind) == (BackendState.DRAINING, 2.5, 0, 0)
     (entry,) = parse_list(listing(member("a", ADDRESS)), from_json(SETTINGS)).roster.entries
@@ -60,32 +60,32 @@
 
 
 @pytest.mark.parametrize("text", [None, "", "1.2.3.4", "1.2.3.4:x", "a.b.c.d:80", "1.2.3:80"])
-def test_address_that_is_none(text):
+def test_a_malformed_address_is_rejected(text):
     with pytest.raises(ListError, match="listen"):
         parse_address(text, "listen")
 
 
-class Follow:
-    """A watch against a scripted service."""
+class DiscoveryRun:
+    """A discovery client with a scripted service; `rosters` collects the lists that it passes on."""
 
     def __init__(self, handle, revision: int | None = None) -> None:
-        self.fake, self.told, self.revision = Fake(handle), [], revision
+        self.service, self.rosters, self.revision = Fake(handle), [], revision
 
     async def __aenter__(self):
-        address = parse_address(await self.fake.start(), "here")
+        address = parse_address(await self.service.start(), "here")
         self.watch = Discovery(asyncio.get_running_loop(), address, from_json(SETTINGS),
-                               lambda roster, addresses: self.told.append(roster))
+                               lambda roster, addresses: self.rosters.append(roster))
         self.watch.revision = self.revision
         self.watch.start()
         return self
 
     async def __aexit__(self, *_):
         self.watch.stop()
-        self.fake.stop()
+        self.service.stop()
 
 
-def test_whole_list_first_then_watches_from_its_version():
-    async def play() -> None:
+def test_the_whole_list_is_requested_first_then_changes_from_its_revision():
+    async def scenario() -> None:
         lines = []
 
         async def handle(reader, writer):
@@ -97,21 +97,21 @@
             lines.append((await read_message(reader))[0])
             await reader.read()
 
-        async with Follow(handle) as f:
+        async with DiscoveryRun(handle) as f:
             await until(lambda: len(lines) == 4)
             assert [line.split()[1].partition("&")[0] for line in lines] == [
                 "/v1/endpoints", "/v1/endpoints?from=3", "/v1/endpoints?from=5", "/v1/endpoints?from=5"]
-            assert [r.kind for r in f.told] == [RosterKind.FULL, RosterKind.CHANGES] and f.fake.opened == 1
+            assert [r.kind for r in f.rosters] == [RosterKind.FULL, RosterKind.CHANGES] and f.service.opened == 1
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("bad", [b"noise\r\n\r\n", ok(b"{}"), ok(b"[" * 100_000), ok(b"{}", "500 No"), b""])
-def test_after_nonsense_the_list_is_kept_and_asked_for_again(bad):
-    async def play() -> None:
+def test_after_a_malformed_answer_the_list_is_kept_and_requested_again(bad):
+    async def scenario() -> None:
         async def handle(reader, writer):
             await read_message(reader)
-            first = f.fake.opened == 1
+            first = f.service.opened == 1
             writer.write(ok(json.dumps(listing(member("a" if first else "b", ADDRESS))).encode()))
             if first:
                 await read_message(reader)
@@ -119,26 +119,26 @@
             else:
                 await reader.read()
 
-        async with Follow(handle) as f:
-            await until(lambda: len(f.told) == 2)
-            assert [[e.backend for e in r.entries] for r in f.told] == [["a"], ["b"]]
+        async with DiscoveryRun(handle) as f:
+            await until(lambda: len(f.rosters) == 2)
+            assert [[e.backend for e in r.entries] for r in f.rosters] == [["a"], ["b"]]
 
-    run(play())
+    run(scenario())
 
 
-def test_ingress_serves_by_the_list_it_had_while_discovery_is_down():
-    async def play() -> None:
+def test_the_ingress_serves_with_its_last_list_while_discovery_is_down():
+    async def scenario() -> None:
         backend = Backend()
         async with world(backend) as made:
             made.list.stop()
             await until(lambda: made.ingress.discovery.transport is None)
             assert (await ask(made, request()))[2] == b"yes"
 
-    run(play())
+    run(scenario())
 
 
-class Later:
-    """A loop that only notes what is to be called, and when."""
+class RecordingLoop:
+    """An event loop that only records the scheduled calls and their delays."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[float, object]] = []
@@ -151,47 +151,47 @@
         self.calls.pop()
 
 
-def asking(ingresses: int, mode: str = "ask") -> Discovery:
+def discovery_client(ingresses: int, mode: str = "ask") -> Discovery:
     settings = from_json(SETTINGS | {"balancers": ingresses, "discovery": mode})
-    made = Discovery(Later(), ("127.0.0.1", 80), settings, lambda roster, addresses: None)
+    client = Discovery(RecordingLoop(), ("127.0.0.1", 80), settings, lambda roster, addresses: None)
     known = parse_list(listing(member("a", ADDRESS), revision=41), settings)
     known.roster.kind = RosterKind.CACHED
-    made.take(known)
-    return made
+    client.apply(known)
+    return client
 
 
-def test_fleet_that_comes_back_at_once_does_not_call_discovery_in_step():
-    """40 calls at one time waited past their time and failed; the service's time was gone all the same."""
+def test_a_fleet_that_restarts_at_once_spreads_its_calls_to_discovery():
+    """Guards against 40 simultaneous calls: they timed out in the queue and used up the service's capacity."""
     delays = []
     for _ in range(200):
-        made = asking(40)
-        made.start()
-        ((delay, call),) = made.loop.calls
-        assert call == made._ask and made.revision == 41    # one call for what is newer, not two
+        client = discovery_client(40)
+        client.start()
+        ((delay, call),) = client.loop.calls
+        assert call == client._request and client.revision == 41    # one call that gets what is newer, not two
         delays.append(delay)
     counts = [sum(i <= delay < i + 1 for delay in delays) for i in range(8)]
     assert min(counts) >= 10 and max(counts) <= 45 and max(delays) <= 8.0
 
 
-@pytest.mark.parametrize("ingresses, least, most", [(40, 2.4, 8.0), (3, 0.18, 0.6), (400, 6.0, 20.0)])
-def test_call_that_is_turned_away_is_made_again_at_a_rate_that_falls_with_the_fleet(ingresses, least, most):
-    made = asking(ingresses, "push")
-    for round in range(3):
-        made._failed("answers 503", turned_away=True)
-        ((delay, _),) = made.loop.calls
-        assert least <= delay <= min(20.0, most * 2 ** round)
-        made.loop.calls.clear()
-        made.timer = None
+@pytest.mark.parametrize("ingresses, min_s, max_s", [(40, 2.4, 8.0), (3, 0.18, 0.6), (400, 6.0, 20.0)])
+def test_a_rejected_call_is_retried_after_a_backoff_that_grows_with_the_fleet(ingresses, min_s, max_s):
+    client = discovery_client(ingresses, "push")
+    for retry in range(3):
+        client._retry_later("answers 503", is_rejected=True)
+        ((delay, _),) = client.loop.calls
+        assert min_s <= delay <= min(20.0, max_s * 2 ** retry)
+        client.loop.calls.clear()
+        client.timer = None
 
 
-def test_discovery_that_is_silent_is_asked_again_soon():
-    made = asking(40, "push")
-    made._failed("does not answer")
-    assert 0.0 < made.loop.calls[0][0] <= 0.1
+def test_a_call_without_an_answer_is_retried_soon():
+    client = discovery_client(40, "push")
+    client._retry_later("does not answer")
+    assert 0.0 < client.loop.calls[0][0] <= 0.1
 
 
-def test_discovery_that_began_anew_is_asked_for_its_whole_list():
-    """Known up to version 41, and it is at 5: a watch from 41 would be told nothing for long."""
+def test_after_a_restart_of_discovery_the_whole_list_is_requested():
+    """The client knows revision 41, discovery is at 5: a watch from 41 would get no changes for a long time."""
     lines = []
 
     async def handle(reader, writer):
@@ -200,13 +200,13 @@
             if lines[-1].count("from=5"):
                 return await reader.read()
             whole = "from=" not in lines[-1]
-            told = listing(*[member("b", ADDRESS)] * whole, revision=5, complete=whole)
-            writer.write(ok(json.dumps(told).encode()))
+            answer = listing(*[member("b", ADDRESS)] * whole, revision=5, complete=whole)
+            writer.write(ok(json.dumps(answer).encode()))
 
-    async def play() -> None:
-        async with Follow(handle, revision=41) as f:
+    async def scenario() -> None:
+        async with DiscoveryRun(handle, revision=41) as f:
             await until(lambda: len(lines) == 3)
-            assert [[e.backend for e in r.entries] for r in f.told] == [["b"]]
+            assert [[e.backend for e in r.entries] for r in f.rosters] == [["b"]]
 
-    run(play())
+    run(scenario())
     assert ["from=41" in lines[0], "from=" in lines[1], "from=5" in lines[2]] == [True, False, True]
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from test_body_buffering import unchunk
 
-from fennelpoint.body_buffering import MOST_HELD, READ, WHOLE, Budget
+from fennelpoint.body_buffering import MAX_BUFFERED_BYTES, MAX_UPLOAD_BUFFER_BYTES, READ_BYTES, Budget
 from fennelpoint.interface import BackendState, Status
 from fennelpoint.lifecycle import Event, LifeCycle
 from fennelpoint.net.backends import Backends, Exchange, Upstream, UpstreamConnection
@@ -17,7 +17,7 @@
 from fennelpoint.settings import from_json
 from fennelpoint.testing import SETTINGS, request
 
-BIG = bytes(range(256)) * ((MOST_HELD + 40_000) // 256)
+BIG = bytes(range(256)) * ((MAX_UPLOAD_BUFFER_BYTES + 40_000) // 256)
 
 
 class Transport:
@@ -62,30 +62,30 @@
     def __init__(self) -> None:
         self.budget, self.settings, self.got, self.open = Budget(1 << 26), from_json(SETTINGS), [], None
 
-    def is_open(self, txn: bytes) -> bool:
+    def is_open(self, request_id: bytes) -> bool:
         return False
 
     def admit(self, client, asked) -> int:
         if asked.upload is None:
             self.got.append((asked.head, asked.body))
-            client.refused(0.0)
+            client.send_refusal(0.0)
             return 1
         self.open = [client, asked, b""]
-        self.came(1)
+        self.body_arrived(1)
         return 1
 
-    def came(self, request: int) -> None:
+    def body_arrived(self, request: int) -> None:
         client, asked, _ = self.open
-        while asked.upload.waits:
-            self.open[2] += asked.upload.take()
-            client.taken_on()
-        if asked.upload.ended:
-            body = self.open[2] if asked.upload.length is not None else unchunk(self.open[2])[0]
+        while asked.upload.has_pending:
+            self.open[2] += asked.upload.take_pending()
+            client.upload_written()
+        if asked.upload.is_sent:
+            body = self.open[2] if asked.upload.content_length is not None else unchunk(self.open[2])[0]
             self.got.append((asked.head, body))
             self.open = None
-            client.refused(0.0)
+            client.send_refusal(0.0)
 
-    def gone(self, request: int) -> None:
+    def client_left(self, request: int) -> None:
         self.open = None
 
 
@@ -111,7 +111,7 @@
 
 def cut(data: bytes, at: list[int]) -> list[bytes]:
     """In pieces as drawn, and no larger than one read."""
-    ends = sorted({min(len(data), a) for a in at} | {*range(READ, len(data), READ), len(data)})
+    ends = sorted({min(len(data), a) for a in at} | {*range(READ_BYTES, len(data), READ_BYTES), len(data)})
     return [data[a:b] for a, b in zip([0, *ends], ends, strict=False) if a < b]
 
 
@@ -156,14 +156,14 @@
     def __init__(self) -> None:
         self.got = b""
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         self.got += data
 
 
 def answered(pieces: list[bytes], end: bool) -> tuple[Status | None, int, bytes]:
     """What a backend's bytes come to: outcome, status, body; whether or not it was passed on as it came."""
     pool = SimpleNamespace(all=set(), budget=Budget(1 << 26), judge=partial(Backends.judge, None),
-                           keeps_for=partial(Backends.keeps_for, None), names=partial(Backends.names, None))
+                           keep_alive_s=partial(Backends.keep_alive_s, None), has_id=partial(Backends.has_id, None))
     upstream = Upstream("127.0.0.1", 1, 0.0, BackendState.READY)
     sink, out = Sink(), []
 
@@ -202,7 +202,7 @@
                            + b"Content-Length: 5\r\n\r\nhello", b"hello", Status.OK),
     "none": (b"HTTP/1.1 204 No Content\r\n\r\n", b"", Status.ERROR),
     "turned away": (b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1 \r\nContent-Length: 0\r\n\r\n", b"", Status.FULL),
-    "the connection's end": (OK + b"\r\n" + BIG[:WHOLE + 99], BIG[:WHOLE + 99], Status.OK),
+    "the connection's end": (OK + b"\r\n" + BIG[:MAX_BUFFERED_BYTES + 99], BIG[:MAX_BUFFERED_BYTES + 99], Status.OK),
     "too little": (OK + b"Content-Length: 50\r\n\r\nhello", b"", Status.RESET),
     "a bad chunk": (OK + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\n", b"", Status.ERROR),
 }
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -93,8 +93,8 @@
                 assert line.endswith("200 OK") and "x-t" not in fields and "link" not in fields
                 assert await body_of(reader, fields) == BODY
             writer.close()
-            await until(lambda: not made.ingress.host.tickets)
-            assert made.ingress.budget.used == made.ingress.budget.flows == 0
+            await until(lambda: not made.ingress.host.open_requests)
+            assert made.ingress.budget.used_bytes == made.ingress.budget.streams == 0
 
     run(play())
 
@@ -137,8 +137,8 @@
                 await asyncio.wait_for(body_of(reader, fields), 3.0)
             assert len(seen) == 1       # an answer that has begun is no other backend's any more
             writer.close()
-            await until(lambda: not made.ingress.host.tickets and not made.ingress.server.connections)
-            assert made.ingress.budget.used == made.ingress.budget.flows == 0
+            await until(lambda: not made.ingress.host.open_requests and not made.ingress.server.connections)
+            assert made.ingress.budget.used_bytes == made.ingress.budget.streams == 0
 
     run(play())
 
@@ -191,7 +191,7 @@
             await until(lambda: len(made.ingress.server.flowing) == 8)
             await until(lambda: all(c.choked for c in made.ingress.server.flowing))
             budget = made.ingress.budget
-            assert budget.used <= 8 * (body_buffering.MOST_MARK + body_buffering.READ + 64)
+            assert budget.used_bytes <= 8 * (body_buffering.MAX_HIGH_WATER_BYTES + body_buffering.READ_BYTES + 64)
             reader, writer = await made.connect()
             began = time.monotonic()
             writer.write(request())
@@ -200,15 +200,15 @@
             assert len(await body_of(stopped[0][0], fields)) == size    # and goes on as it reads again
             for _, other in (*stopped, (reader, writer)):
                 other.close()
-            await until(lambda: not made.ingress.host.tickets and not made.ingress.backends.connecting)
-            assert budget.used == budget.flows == 0
+            await until(lambda: not made.ingress.host.open_requests and not made.ingress.backends.connect_tasks)
+            assert budget.used_bytes == budget.streams == 0
 
     run(play())
 
 
 def test_a_reader_that_takes_nothing_for_long_is_given_up(monkeypatch):
     async def play() -> None:
-        monkeypatch.setattr("fennelpoint.net.server.STOPPED", 0.5)
+        monkeypatch.setattr("fennelpoint.net.server.BODY_STALL_TIMEOUT_S", 0.5)
         whole = LINES + b"Content-Length: %d\r\n\r\n" % (24 * MB) + bytes(24 * MB)
         async with world(Backend(lambda *_: whole)) as made:
             reader, writer = await made.connect()
@@ -216,7 +216,7 @@
             writer.write(request(left=60_000))
             await until(lambda: made.ingress.server.flowing)
             await until(lambda: not made.ingress.server.connections, 5.0)
-            await until(lambda: not made.ingress.host.tickets and not made.ingress.backends.all)
+            await until(lambda: not made.ingress.host.open_requests and not made.ingress.backends.all)
             writer.close()
 
     run(play())
@@ -249,7 +249,8 @@
 }
 
 
-@pytest.mark.parametrize("size", [100, 65_537, body_buffering.MOST_HELD - 1, body_buffering.MOST_HELD, MB, 3 * MB])
+@pytest.mark.parametrize("size", [100, 65_537, body_buffering.MAX_UPLOAD_BUFFER_BYTES - 1,
+                                  body_buffering.MAX_UPLOAD_BUFFER_BYTES, MB, 3 * MB])
 @pytest.mark.parametrize("form", UPLOADS)
 def test_bodies_of_any_size_and_framing_reach_the_backend_unchanged(form, size):
     async def play() -> None:
@@ -263,8 +264,8 @@
             assert backend.seen == [BODY[:size]] * 2
             assert all("x-lane" in fields and fields["x-lane"] == "book" for fields in backend.heads)
             writer.close()
-            await until(lambda: not made.ingress.host.tickets)
-            assert made.ingress.budget.used == made.ingress.budget.flows == 0
+            await until(lambda: not made.ingress.host.open_requests)
+            assert made.ingress.budget.used_bytes == made.ingress.budget.streams == 0
 
     run(play())
 
@@ -278,7 +279,7 @@
             reader, writer = await made.connect()
             writer.write(request("book", body, left=60_000))
             await until(lambda: any(c.halted for c in made.ingress.server.connections))
-            assert made.ingress.budget.used <= 2 * body_buffering.MOST_HELD
+            assert made.ingress.budget.used_bytes <= 2 * body_buffering.MAX_UPLOAD_BUFFER_BYTES
             backend.go.set()
             line, _, answer = await read_message(reader)
             assert line.endswith("200 OK") and answer == b"%d" % len(body) and backend.seen == [body]
@@ -320,17 +321,17 @@
 
 def test_a_large_body_that_stops_coming_is_told_so_and_the_backend_never_has_it_whole(monkeypatch):
     async def play() -> None:
-        monkeypatch.setattr(body_buffering, "GRACE", 0.3)
-        monkeypatch.setattr(body_buffering, "RATE", 4e6)
+        monkeypatch.setattr(body_buffering, "PACE_GRACE_S", 0.3)
+        monkeypatch.setattr(body_buffering, "MIN_BYTES_PER_S", 4e6)
         backend = Taker()
         async with world(backend) as made:
             reader, writer = await made.connect()
             writer.write(request("book", BODY, left=60_000)[:MB])
             assert (await asyncio.wait_for(reader.read(), 5.0)).startswith(b"HTTP/1.1 408")
             writer.close()
-            await until(lambda: backend.heads and not made.ingress.host.tickets)
+            await until(lambda: backend.heads and not made.ingress.host.open_requests)
             await until(lambda: not made.ingress.server.connections and not made.ingress.backends.all)
-            assert not backend.seen and made.ingress.budget.used == made.ingress.budget.flows == 0
+            assert not backend.seen and made.ingress.budget.used_bytes == made.ingress.budget.streams == 0
             assert made.ingress.host.controller.fleet.out == 0
 
     run(play())
@@ -344,7 +345,7 @@
             writer.write(request("book", BODY, left=60_000)[:MB])
             await until(lambda: backend.heads)
             writer.transport.abort()
-            await until(lambda: not made.ingress.host.tickets and not made.ingress.backends.all)
+            await until(lambda: not made.ingress.host.open_requests and not made.ingress.backends.all)
             assert not backend.seen and made.ingress.host.controller.fleet.out == 0
 
     run(play())
@@ -401,7 +402,7 @@
             writer.write(data[MB:])
             writer.write(b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n")
             assert (await read_message(reader))[2] == b"ready\n"
-            assert made.ingress.budget.used == 0
+            assert made.ingress.budget.used_bytes == 0
             writer.close()
 
     run(play())
@@ -428,15 +429,15 @@
 
 def test_a_body_without_end_is_too_large(monkeypatch):
     async def play() -> None:
-        monkeypatch.setattr("fennelpoint.net.server.MOST", 2 * MB)
+        monkeypatch.setattr("fennelpoint.net.server.MAX_BODY_BYTES", 2 * MB)
         backend = Taker()
         async with world(backend) as made:
             reader, writer = await made.connect()
             writer.write(request("book", chunked(BODY, 9999), left=5000, Transfer_Encoding="chunked"))
             assert (await read_message(reader))[0].split()[1] == "413"
             writer.close()
-            await until(lambda: not made.ingress.host.tickets)
-            assert not backend.seen and made.ingress.budget.used == 0
+            await until(lambda: not made.ingress.host.open_requests)
+            assert not backend.seen and made.ingress.budget.used_bytes == 0
 
     run(play())
 
@@ -572,7 +573,8 @@
             for _ in range(16):
                 assert await reader.readexactly(16 * 1024) == bytes(16 * 1024)
                 await asyncio.sleep(0.25)
-            assert given[0] < 32 and made.ingress.budget.used <= body_buffering.MOST_MARK + 256 * 1024
+            assert given[0] < 32 and (
+                made.ingress.budget.used_bytes <= body_buffering.MAX_HIGH_WATER_BYTES + 256 * 1024)
             writer.close()
 
     run(play(), 30.0)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -58,14 +58,14 @@
 def test_file_that_cannot_be_used_changes_nothing(tmp_path, caplog):
     async def play() -> None:
         async with world(Backend()) as made:
-            discovery, line = made.ingress.discovery, made.ingress.counter.line
+            discovery, line = made.ingress.discovery, made.ingress.counter.connection
             for changes in ({"counter": "nowhere"}, {"settings": {}}, {"discovery": None}):
                 write(made, tmp_path / "config", **changes)
                 made.ingress.reload()
             (tmp_path / "config").write_text('{"name": "n0", "disc')
             made.ingress.reload()
             assert made.ingress.discovery is discovery and made.ingress.coming is None
-            assert made.ingress.counter.line is line and caplog.text.count("keeps its configuration") == 4
+            assert made.ingress.counter.connection is line and caplog.text.count("keeps its configuration") == 4
             assert (await ask(made, request()))[0].endswith("200 OK")
 
     run(play())
@@ -84,10 +84,10 @@
         slow, count = Fake(handle), Count()
         async with world(Backend()) as made:
             counter = made.ingress.counter
-            counter.timeout = 20.0
+            counter.timeout_s = 20.0
             counter.move(*_address(await slow.start()))
             counter.call(1, 1.0, 4.0, replies.append)
-            await until(lambda: slow.opened and counter.line and counter.line.calls)
+            await until(lambda: slow.opened and counter.connection and counter.connection.calls)
             write(made, tmp_path / "config", counter=await count.start())
             made.ingress.reload()
             made.ingress.reload()   # it may come again
@@ -98,7 +98,7 @@
             go.set()
             await until(lambda: len(replies) == 2)
             assert (replies[1].name, replies[1].total) == (1, 5.0)
-            await until(lambda: not counter.leaving)
+            await until(lambda: not counter.draining)
             slow.stop()
             count.stop()
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from fennelpoint.body_buffering import MOST
+from fennelpoint.body_buffering import MAX_BODY_BYTES
 from fennelpoint.file_descriptors import Plan
 from fennelpoint.lifecycle import Phase
 from fennelpoint.testing import Backend, ask, ok, read_message, request, run, until, world
@@ -42,7 +42,7 @@
     (b"\x16\x03\x01 not http\r\n\r\n", 400),
     (b"GET /api HTTP/1.1\r\nHost : x\r\n\r\n", 400),
     (b"GET /api HTTP/1.1\r\nX: " + b"y" * 40_000, 431),
-    (request("book", bytes(1000), Content_Length=str(MOST + 1)), 413),
+    (request("book", bytes(1000), Content_Length=str(MAX_BODY_BYTES + 1)), 413),
     (request("book", b"0\r\nX: " + b"y" * 900_000, Transfer_Encoding="chunked"), 413),
     (request("book", b"3;" + b"y" * 900_000, Transfer_Encoding="chunked"), 413),
     (request("book", b"0\r\n\r\n", Transfer_Encoding="chunked").replace(b"HTTP/1.1", b"HTTP/1.0"), 400),
@@ -61,7 +61,7 @@
             assert int(line.split()[1]) == status and fields["connection"] == "close"
             assert await reader.read() == b""
             writer.close()
-            assert not backend.seen and not made.ingress.host.tickets
+            assert not backend.seen and not made.ingress.host.open_requests
 
     run(play())
 
@@ -140,8 +140,8 @@
             writer.write(request(left=400))
             await until(lambda: backend.seen)
             writer.close()
-            await until(lambda: made.ingress.host.waiting == 0)
-            await until(lambda: not made.ingress.host.tickets and not made.ingress.server.connections)
+            await until(lambda: made.ingress.host.unanswered_count == 0)
+            await until(lambda: not made.ingress.host.open_requests and not made.ingress.server.connections)
 
     run(play())
 
@@ -164,7 +164,7 @@
         async with world(Backend()) as made:
             made.ingress.host.controller.handle = lambda event, now: []
             assert (await ask(made, request(left=200)))[0].split()[1] == "502"
-            assert not made.ingress.host.tickets
+            assert not made.ingress.host.open_requests
 
     run(play())
 
@@ -233,7 +233,7 @@
                 writer.write(request(left=20_000))
                 served += 1
                 assert served < 2000
-                await until(lambda: made.ingress.host.waiting == 0 and len(backend.seen) == served)  # noqa: B023
+                await until(lambda: made.ingress.host.unanswered_count == 0 and len(backend.seen) == served)  # noqa: B023
             writer.write(request(left=20_000))
             await until(lambda: any(c.waiting for c in made.ingress.server.connections))
             assert len(backend.seen) == served
@@ -256,7 +256,7 @@
             backend.writers[0].write(ok(b"yes"))
             assert (await read_message(reader))[2] == b"yes"
             writer.close()
-            await until(lambda: not made.ingress.host.tickets)
+            await until(lambda: not made.ingress.host.open_requests)
             backend.answer = lambda *_: ok(b"yes")
             assert (await ask(made, request(X_Txn="one")))[0].endswith("200 OK")
 
