--- a/fennelpoint/body_buffering.py
+++ b/fennelpoint/body_buffering.py
@@ -1,7 +1,7 @@
 """Flow control of large bodies: the process's byte budget, high-water marks and minimum transfer rates.
 
 Pure: byte counts and times in, limits and decisions out.  The sockets in `net/` apply them.  Whether an attempt may
-be retried is decided by the decision module, which learns of it from the `Spent` and `Arrived` events.
+be retried is decided by the decision module, which learns of it from the `BodyReleased` and `BodyReceived` events.
 """
 
 from __future__ import annotations
--- a/fennelpoint/net/controller_host.py
+++ b/fennelpoint/net/controller_host.py
@@ -211,7 +211,7 @@
         if open_request.parsed.upload.is_complete and open_request.timer is None and not open_request.is_streaming:
             open_request.deadline = self.clock() + open_request.parsed.time_left
             open_request.timer = self.loop.call_later(open_request.parsed.time_left, self._expire, open_request)
-            self.post(api.Arrived(request))
+            self.post(api.BodyReceived(request))
         for exchange in list(open_request.exchanges.values()):
             exchange.write_body()
 
@@ -359,7 +359,7 @@
                 violations.record(Invariant.CLIENT_LEFT_NOTHING_SENT, f"request {open_request.id}")
             if open_request.parsed.upload is None:
                 return open_request.parsed.render(until - self.clock(), send.backend)
-            self.post(api.Spent(send.request))  # what is written is not kept for a retry
+            self.post(api.BodyReleased(send.request))  # what is written is not kept for a retry
             return open_request.parsed.render(open_request.parsed.time_left, send.backend)
 
         exchange = Exchange(render, on_end, on_stream_start, open_request.parsed.upload, open_request.upload_written)
--- a/fennelpoint/system/proxy/placement.py
+++ b/fennelpoint/system/proxy/placement.py
@@ -6,10 +6,10 @@
 from math import inf
 
 from fennelpoint import interface as api
-from fennelpoint.bookkeeping import Ground, allowed
+from fennelpoint.bookkeeping import Context, may_send
 from fennelpoint.cells.cell_controller import Confined
-from fennelpoint.selection import FIRST_GUESS
-from fennelpoint.state import Backend, Crowd, Try
+from fennelpoint.selection import INITIAL_LATENCY_AIMS
+from fennelpoint.state import Backend, ConcurrencyLimiter, PendingRequest
 from fennelpoint.system.proxy.events import BackendPlacement
 
 QUEUED_PER_SLOT = 1.0  # own attempts in flight beyond a backend's slots
@@ -21,8 +21,8 @@
 class NearestBackend(Confined):
     """Chooses the backend with the least expected time to the answer among those with a free slot."""
 
-    def __init__(self, ground: Ground) -> None:
-        super().__init__(ground)
+    def __init__(self, context: Context) -> None:
+        super().__init__(context)
         self.placement = BackendPlacement({}, {}, {})
         self.cold_sent_at: dict[object, deque] = {}  # times of the attempts sent, by backend in cold start
 
@@ -39,26 +39,26 @@
     def add_classes(self, classes: list[api.RequestClass]) -> None:
         """Add the classes that are new, with the first latency estimate that every class starts with."""
         for cls in classes[len(self.typical) :]:
-            self.typical.append(FIRST_GUESS * cls.aim)
-            self.usual.append(FIRST_GUESS * cls.aim)
+            self.typical.append(INITIAL_LATENCY_AIMS * cls.aim)
+            self.usual.append(INITIAL_LATENCY_AIMS * cls.aim)
 
-    def choose(self, pending: Try, now: float) -> Backend | None:
-        if not allowed(pending, self.settings, now):
+    def choose(self, pending: PendingRequest, now: float) -> Backend | None:
+        if not may_send(pending, self.settings, now):
             return None
         best, least = None, inf
-        typical = self.typical[pending.ask.cls]
-        for backend in self.ready(pending.crowd):
+        typical = self.typical[pending.request.cls]
+        for backend in self.ready(pending.limiter):
             key = backend.entry.backend
-            if now < backend.rest_until or pending.avoid == key:
+            if now < backend.rest_until or pending.previous_backend == key:
                 continue
-            slots, in_flight = self.placement.slots.get(key, 1), len(backend.out)
+            slots, in_flight = self.placement.slots.get(key, 1), len(backend.in_flight)
             if in_flight >= slots * (1.0 + QUEUED_PER_SLOT):
                 continue
             cold_until, cold_limit = self.placement.cold_limits.get(key, (0.0, 0))
             slowness = self.slowness(backend, now)
             if now < cold_until:
                 # The previous process at this address may have used up this proxy's rate in the current second.
-                if now < self.ground.born + RATE_WINDOW_S or self._sent_in_window(key, now) >= cold_limit:
+                if now < self.context.started_at + RATE_WINDOW_S or self._sent_in_window(key, now) >= cold_limit:
                     continue
                 slowness *= 1.5
             load = in_flight * max(1.0, 0.5 * self.placement.sharing_proxies) / slots
@@ -78,7 +78,7 @@
             times.popleft()
         return len(times)
 
-    def press(self, crowd: Crowd, ratio: float, latency: float, now: float) -> None:
-        super().press(crowd, ratio, latency, now)
+    def adjust_window(self, crowd: ConcurrencyLimiter, ratio: float, latency: float, now: float) -> None:
+        super().adjust_window(crowd, ratio, latency, now)
         crowd.window = max(MIN_WINDOW, crowd.window)
         crowd.rest_until = min(crowd.rest_until, now)
--- a/fennelpoint/system/proxy/queue_timeout.py
+++ b/fennelpoint/system/proxy/queue_timeout.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from fennelpoint import interface as api
-from fennelpoint.bookkeeping import PUMP_TOKEN, Ground
-from fennelpoint.queueing import Waiting
-from fennelpoint.state import Try
+from fennelpoint.bookkeeping import CHECK_TOKEN, Context
+from fennelpoint.queueing import WaitQueue
+from fennelpoint.state import PendingRequest
 from fennelpoint.system.proxy.events import UnitsNeeded
 from fennelpoint.system.proxy.fair_queueing import FairOrder
 
@@ -15,41 +15,42 @@
 STARVED_WORTH_FACTOR = 1e9  # puts a request of a starved level before all others
 
 
-class TimeoutQueue(Waiting):
+class TimeoutQueue(WaitQueue):
     """Queue with a short timeout, a starvation guard, and requests for units of pooled quotas."""
 
-    def __init__(self, ground: Ground, *concerns: object) -> None:
-        super().__init__(ground, *concerns)
-        self.fair_order = FairOrder(ground.born)
+    def __init__(self, context: Context, *concerns: object) -> None:
+        super().__init__(context, *concerns)
+        self.fair_order = FairOrder(context.started_at)
 
-    def level_of(self, pending: Try) -> float:
+    def level_of(self, pending: PendingRequest) -> float:
         """The worth that orders a request among the others, unless its level is starved."""
-        return self.settings.classes[pending.ask.cls].worth * self.settings.plans[pending.customer.plan].price
+        return self.settings.classes[pending.request.cls].worth * self.settings.plans[pending.customer.plan].price
 
-    def hold(self, pending: Try, now: float) -> None:
+    def enqueue(self, pending: PendingRequest, now: float) -> None:
         # Guards the lowest ranks: they would never be next while an overload lasts.
-        if pending.ask.request not in self.line.held and self.fair_order.is_starved(
+        if pending.request.request not in self.requests.waiting and self.fair_order.is_starved(
             level := self.level_of(pending), now
         ):
             pending.worth = STARVED_WORTH_FACTOR * level
-        super().hold(pending, now)
+        super().enqueue(pending, now)
         self._request_units(pending, now)
-        if not pending.reached and pending.ask.request in self.line.held:
-            pending.last = min(
-                pending.last, pending.came_at + QUEUE_TIMEOUT_FRACTION * self.settings.classes[pending.ask.cls].aim
+        if not pending.reached and pending.request.request in self.requests.waiting:
+            pending.wait_until = min(
+                pending.wait_until,
+                pending.arrived_at + QUEUE_TIMEOUT_FRACTION * self.settings.classes[pending.request.cls].aim,
             )
-            self.out += self.timers.wake(PUMP_TOKEN, max(now, pending.last), now)
+            self.actions += self.timers.schedule(CHECK_TOKEN, max(now, pending.wait_until), now)
 
     def repeat_unit_requests(self, now: float) -> None:
         """Request units again for requests that still wait: another allocator may be active by now."""
         for pending in self.quotas.pop_unanswered(now):
             self._request_units(pending, now)
 
-    def _request_units(self, pending: Try, now: float) -> None:
+    def _request_units(self, pending: PendingRequest, now: float) -> None:
         if self.quotas.should_request_units(pending, now):
-            self.out.append(UnitsNeeded(pending.customer.key, pending.ask.units))
+            self.actions.append(UnitsNeeded(pending.customer.key, pending.request.units))
 
-    def refuse(self, pending: Try, now: float, wait: float) -> None:
+    def refuse(self, pending: PendingRequest, now: float, wait: float) -> None:
         self.quotas.fill(pending.customer, now)
         is_over = self.quotas.is_over_quota(pending)
         if not (is_over or pending.charged):
@@ -63,5 +64,5 @@
             max(wait, OVER_QUOTA_RETRY_AFTER_S) if is_long else min(MAX_RETRY_AFTER_S, max(wait, MIN_RETRY_AFTER_S))
         )
         super().refuse(pending, now, max(retry_after, self.quotas.seconds_until_takeover(pending.customer, now)))
-        if isinstance(last := self.out[-1], api.Refuse):
+        if isinstance(last := self.actions[-1], api.Refuse):
             last.over = is_over
