--- a/fennelpoint/__init__.py
+++ b/fennelpoint/__init__.py
@@ -1,4 +1,4 @@
-"""An ingress that holds customers to their quotas, and the whole load balancer round it."""
+"""A global load balancer: an ingress that enforces customers' quotas, and the distributed system around it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Loaded when asked for: programs that decide nothing start in a third less time without it."""
+    """Import `Controller` on first use: programs that do not need it start in a third less time without it."""
     if name == "Controller":
         from fennelpoint.control import Controller
 
--- a/fennelpoint/cells/service.py
+++ b/fennelpoint/cells/service.py
@@ -10,12 +10,12 @@
 from fennelpoint.cells.moves import Moves
 from fennelpoint.cells.plan import Plan, check_change, read_plan
 from fennelpoint.cells.quarantine import Poison
-from fennelpoint.component import Part
+from fennelpoint.component import Component
 from fennelpoint.rate_limited_log import log
 from fennelpoint.validation_errors import FaultyFile
 
 
-class CellsService(Part):
+class CellsService(Component):
     """Keeps the cells of one ingress.  `post` takes events for the module."""
 
     def __init__(self, path: str, plan: Plan, zones: list[str], post: Callable[[api.Event], None]) -> None:
--- a/fennelpoint/component.py
+++ b/fennelpoint/component.py
@@ -1,4 +1,4 @@
-"""What an optional part of a running ingress is, and what it may use of the ingress that carries it."""
+"""The interface between a running ingress and its optional components."""
 
 from __future__ import annotations
 
@@ -10,48 +10,48 @@
 from fennelpoint.lifecycle import LifeCycle
 
 
-class Carrier(Protocol):
-    """The ingress, as its parts see it."""
+class IngressContext(Protocol):
+    """What a component may use of its ingress."""
 
     loop: asyncio.AbstractEventLoop
     config: Any             # what the ingress was started with, checked
-    host: Any               # drives the module: `post`, `controller`, `may_send`, `cells`
+    host: Any               # drives the decision module: `post`, `controller`, `may_send`, `cells`
     server: Any             # the client side: `listen`, `reader`, `room`, `connections`
-    backends: Any           # the upstream pools
+    backends: Any           # the upstream connection pools
     discovery: Any          # the list of backends: `known_addresses`
-    life: LifeCycle
-    parts: dict[str, Part]  # those that are on, by name
-    look: Callable[[], None]    # look again whether it may end
-    listed: bool            # there is a list to go by
+    life_cycle: LifeCycle
+    components: dict[str, Component]    # those that are enabled, by name
+    check_shutdown: Callable[[], None]  # carries out what the life cycle has due
+    has_list: bool          # there is a list of backends
     operator_path: str
 
-    def word(self) -> tuple[str, bool]:
-        """How it stands, and whether the counter that quotas are kept by is heard."""
+    def heartbeat_state(self) -> tuple[str, bool]:
+        """Return the state for the heartbeat, and whether the counter that quotas depend on is available."""
 
     def set_ready(self) -> None:
-        """Clients may come, if nothing holds them back."""
+        """Become ready if there is a list and no component blocks readiness."""
 
 
-class Part:
-    """What the ingress calls; a part overrides what it needs."""
+class Component:
+    """Called by the ingress; a component overrides the methods that it needs."""
 
-    holds = False       # clients are not to come yet
-    relieved = False    # another process serves at our address
+    blocks_readiness = False    # clients should not be sent here yet
+    has_successor = False       # another process serves at the same address
 
     async def start(self) -> None:
-        """After the ingress's own listener, before discovery."""
+        """Called after the start of the ingress's own listener and before that of discovery."""
 
     def follow(self, roster: api.Roster) -> None:
-        """A list of backends or its changes, before the module hears of it."""
+        """Called with a list of backends or its changes, before the decision module gets it."""
 
     def reload(self) -> None:
-        """SIGHUP; what can't be used changes nothing."""
+        """Called on SIGHUP; a file that cannot be used changes nothing."""
 
     def sweep(self) -> None:
-        """Each quarter of a second."""
+        """Called every quarter of a second."""
 
     def finish(self) -> None:
-        """All is answered; the process ends next."""
+        """Called when all requests are answered, before the process ends."""
 
     def close(self) -> None:
-        """Leave every socket."""
+        """Close all sockets."""
--- a/fennelpoint/components.py
+++ b/fennelpoint/components.py
@@ -1,44 +1,44 @@
-"""Optional parts of a running ingress: each is made, started, told, reloaded and closed by one seam.
+"""The optional components of a running ingress, all created, started, reloaded and closed in the same way.
 
-A new part is one function here and one line in `MAKERS`.  A part's modules are loaded only where its file or
-its setting turns it on.
+A new component takes one function here and one line in `FACTORIES`.  A component's modules are imported only if a
+file or a setting enables it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from fennelpoint.component import Carrier, Part
+from fennelpoint.component import Component, IngressContext
 
 
-def _door(ingress: Carrier) -> Part | None:
-    """The operators' door."""
+def _door(ingress: IngressContext) -> Component | None:
+    """The admin socket."""
     config = ingress.config
-    if config.door is None:
+    if config.admin_address is None:
         return None
     from fennelpoint.file_descriptors import plan
     from fennelpoint.net.admin_socket import Door
 
-    def stand() -> str:
+    def summary() -> str:
         return f": {len(ingress.server.connections)} connections, {ingress.host.unanswered_count} requests open"
 
-    return Door(ingress.loop, config.door, ingress.life, config.name, plan(config.sockets).admin_callers,
-                ingress.look, stand)
+    return Door(ingress.loop, config.admin_address, ingress.life_cycle, config.name,
+                plan(config.descriptor_limit).admin_callers, ingress.check_shutdown, summary)
 
 
-def _cells(ingress: Carrier) -> Part | None:
-    """Agencies confined to cells, where the operator file names a plan."""
-    if ingress.config.cells is None:
+def _cells(ingress: IngressContext) -> Component | None:
+    """Confinement of agencies to cells, if the operator file names a plan."""
+    if ingress.config.cell_plan is None:
         return None
     from fennelpoint.cells.service import CellsService
 
-    made = ingress.host.cells = CellsService(ingress.config.operator.cells.plan, ingress.config.cells,
+    service = ingress.host.cells = CellsService(ingress.config.operator.cells.plan, ingress.config.cell_plan,
                                              ingress.config.settings.zones, ingress.host.post)
-    return made
+    return service
 
 
-def _routes(ingress: Carrier) -> Part | None:
-    """Requests read by a description, where the operator file names one."""
+def _routes(ingress: IngressContext) -> Component | None:
+    """Parsing of requests by an API description, if the operator file names one."""
     config = ingress.config
     if config.operator is None or (routes := config.operator.routes) is None:
         return None
@@ -47,27 +47,27 @@
     return RoutesPart(ingress, routes)
 
 
-def _announce(ingress: Carrier) -> Part | None:
-    """The word to the announcer beside it."""
+def _announce(ingress: IngressContext) -> Component | None:
+    """The heartbeat to the announcer on this machine."""
     if ingress.config.operator is None or (announce := ingress.config.operator.announce) is None:
         return None
     from fennelpoint.net.discovery import parse_address
     from fennelpoint.net.heartbeat import Beat
 
-    return Beat(ingress.loop, parse_address(announce.beat_listen, "beat_listen"), ingress.word)
+    return Beat(ingress.loop, parse_address(announce.beat_listen, "beat_listen"), ingress.heartbeat_state)
 
 
-def _twins(ingress: Carrier) -> Part | None:
-    """The other processes of this ingress, where the platform holds its socket."""
-    if ingress.config.inherited is None or not ingress.config.folder:
+def _twins(ingress: IngressContext) -> Component | None:
+    """Coordination with the other processes of this ingress, if the platform holds its socket."""
+    if ingress.config.inherited_socket is None or not ingress.config.shared_folder:
         return None
     from fennelpoint.net.process_group import TwinsPart
 
     return TwinsPart.made(ingress)
 
 
-def _fleet(ingress: Carrier) -> Part | None:
-    """A licence for the fleet's version, where the operator file has a fleet section."""
+def _fleet(ingress: IngressContext) -> Component | None:
+    """A lease on the fleet's version, if the operator file has a fleet section."""
     if ingress.config.operator is None or (section := ingress.config.operator.fleet) is None:
         return None
     from fennelpoint.fleet.component import FleetPart
@@ -75,12 +75,12 @@
     return FleetPart(ingress, section)
 
 
-MAKERS: dict[str, Callable[[Carrier], Part | None]] = {
+FACTORIES: dict[str, Callable[[IngressContext], Component | None]] = {
     "door": _door, "cells": _cells, "routes": _routes, "announce": _announce, "twins": _twins,
     "fleet": _fleet}
 
 
-def make_parts(ingress: Carrier) -> dict[str, Part]:
-    """The parts that are on, by name, in the order in which they start."""
-    made = {name: make(ingress) for name, make in MAKERS.items()}
-    return {name: part for name, part in made.items() if part is not None}
+def create_components(ingress: IngressContext) -> dict[str, Component]:
+    """Return the components that are enabled, by name, in the order in which they start."""
+    created = {name: create(ingress) for name, create in FACTORIES.items()}
+    return {name: component for name, component in created.items() if component is not None}
--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -22,7 +22,7 @@
 import structlog
 
 from fennelpoint import interface as api
-from fennelpoint.component import Carrier, Part
+from fennelpoint.component import Component, IngressContext
 from fennelpoint.fleet import audit, logs, plan_parameters, state, version_contents
 from fennelpoint.fleet.disk_ring_buffer import Ring
 from fennelpoint.fleet.rpc import CallFailed, Line, Service
@@ -58,10 +58,10 @@
     table: RouteTable | None = None
 
 
-class FleetPart(Part):
+class FleetPart(Component):
     """One process of an ingress in its fleet."""
 
-    def __init__(self, ingress: Carrier, section: FleetSection) -> None:
+    def __init__(self, ingress: IngressContext, section: FleetSection) -> None:
         logs.configure()
         config, settings = ingress.config, ingress.config.settings
         self.ingress, self.section, self.name, self.loop = ingress, section, config.name, ingress.loop
@@ -93,7 +93,7 @@
         self.kept = 0           # the revision that is on disk
         self.last_renewed, self.trouble, self.refused = 0.0, "", ""
         self.cells = ingress.host.cells
-        ingress.life.handle(Event.BAR, time.monotonic())
+        ingress.life_cycle.handle(Event.BAR, time.monotonic())
         ingress.host.may_send = self.may_send
         ingress.host.post(api.Barred(True))
         self.peer_calls: dict[str, Callable] = {
@@ -115,7 +115,7 @@
         reader = self.ingress.server.reader
         self.own_table = getattr(reader, "table", None)
         _, (host, port) = address_of("=" + self.section.listen)
-        await self.service.listen(host, port, reuse_port=self.ingress.config.inherited is not None)
+        await self.service.listen(host, port, reuse_port=self.ingress.config.inherited_socket is not None)
         self.tasks = [asyncio.ensure_future(loop) for loop in (self._renew_on(), self._mark_on())]
 
     def close(self) -> None:
@@ -132,7 +132,7 @@
     @property
     def others(self) -> int:
         """Further processes of this ingress that live."""
-        twins = self.ingress.parts.get("twins")
+        twins = self.ingress.components.get("twins")
         return len(twins.relay.living()) if twins is not None else 0
 
     def _restore(self) -> None:
@@ -247,7 +247,7 @@
         return {"name": self.name, "life": self.life, "origin": self.origin, "number": self.member.number,
                 "zone": self.member.zone, "address": self.member.address, "others": self.others,
                 "acting": licence.acting, "prepared": coming if coming in licence.ready else "",
-                "fault": licence.fault, "phase": self.ingress.life.phase.value, "revision": licence.revision,
+                "fault": licence.fault, "phase": self.ingress.life_cycle.phase.value, "revision": licence.revision,
                 "record": fleet.record if fleet is not None else ""}
 
     def _relayed(self) -> list[dict]:
@@ -366,7 +366,7 @@
 
     async def _read_routes(self, content: version_contents.Content) -> RouteTable:
         """The description, read by a process of its own; raises FaultyFile."""
-        routes = self.ingress.parts.get("routes")
+        routes = self.ingress.components.get("routes")
         if routes is None:
             raise FaultyFile([
                 Fault(version_contents.ROUTES, 0, "", "routes are off here: the operator file has none")])
@@ -427,13 +427,13 @@
                 case Act():
                     self._act(action)
                 case Shut():
-                    self.ingress.life.handle(Event.BAR, time.monotonic())
+                    self.ingress.life_cycle.handle(Event.BAR, time.monotonic())
                     self.ingress.host.post(api.Barred(True))
                     self._turn(audit.OUT, action.why)
                     log.error("shut out", ingress=self.name, why=action.why)
-                    self.ingress.look()
+                    self.ingress.check_shutdown()
                 case Admit():
-                    self.ingress.life.handle(Event.ADMIT, time.monotonic())
+                    self.ingress.life_cycle.handle(Event.ADMIT, time.monotonic())
                     self.ingress.host.post(api.Barred(False))
                     self._turn(self.licence.acting, f"licensed by {action.why}")
                     log.info("admitted", ingress=self.name, version=self.licence.acting, by=action.why)
@@ -446,8 +446,8 @@
         if self.cells is not None and new is not before:
             plan = new.content.cells
             self.cells.ruled = act.number if plan is not None else 0
-            self.cells.take(replace(plan, version=act.number) if plan is not None else self.ingress.config.cells)
-        routes = self.ingress.parts.get("routes")
+            self.cells.take(replace(plan, version=act.number) if plan is not None else self.ingress.config.cell_plan)
+        routes = self.ingress.components.get("routes")
         if routes is not None and new is not before:
             self.ingress.server.reader.take(new.table if new.table is not None else self.own_table)
             routes.ruled = new.table is not None
--- a/fennelpoint/net/__init__.py
+++ b/fennelpoint/net/__init__.py
@@ -1,1 +1,1 @@
-"""The socket side of the ingress: bytes to `interface` events, actions to bytes.  It decides nothing."""
+"""The sockets of the ingress: bytes become `interface` events, actions become bytes.  It decides nothing."""
--- a/fennelpoint/net/admin_socket.py
+++ b/fennelpoint/net/admin_socket.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 
-from fennelpoint.component import Part
+from fennelpoint.component import Component
 from fennelpoint.lifecycle import Event, IllegalTransition, LifeCycle
 from fennelpoint.rate_limited_log import log
 
@@ -77,7 +77,7 @@
         self.door.callers.pop(self, None)
 
 
-class Door(Part):
+class Door(Component):
     """The listener for the operators' calls."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], life: LifeCycle, name: str,
--- a/fennelpoint/net/heartbeat.py
+++ b/fennelpoint/net/heartbeat.py
@@ -10,13 +10,13 @@
 import os
 from collections.abc import Callable
 
-from fennelpoint.component import Part
+from fennelpoint.component import Component
 
 EVERY = 0.2     # s between two beats
 AGAIN = 0.5     # s between two tries to reach the announcer
 
 
-class Beat(Part, asyncio.Protocol):
+class Beat(Component, asyncio.Protocol):
     """One connection to the announcer, made anew when it ends."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int],
--- a/fennelpoint/net/process_group.py
+++ b/fennelpoint/net/process_group.py
@@ -5,7 +5,7 @@
 import time
 
 from fennelpoint import interface as api
-from fennelpoint.component import Carrier, Part
+from fennelpoint.component import Component, IngressContext
 from fennelpoint.file_descriptors import plan
 from fennelpoint.handover import attach, final_snapshot, snapshot
 from fennelpoint.net.hot_restart import Relay
@@ -15,26 +15,26 @@
 TURN = 0.05     # s between looks at a predecessor, until we serve; then each sweep
 
 
-class TwinsPart(Part):
+class TwinsPart(Component):
     """Looks who lives, shares out, tells and takes; holds clients back until it may serve."""
 
-    def __init__(self, ingress: Carrier, relay: Relay) -> None:
-        self.ingress, self.relay, self.holds = ingress, relay, True
+    def __init__(self, ingress: IngressContext, relay: Relay) -> None:
+        self.ingress, self.relay, self.blocks_readiness = ingress, relay, True
         self.turn = RestartCoordinator(relay.generation, relay.living(), time.monotonic())
         attach(ingress.host.controller)
 
     @classmethod
-    def made(cls, ingress: Carrier) -> TwinsPart | None:
+    def made(cls, ingress: IngressContext) -> TwinsPart | None:
         """None, and a line that says why, where the folder that they share can't be used."""
         config = ingress.config
         try:
-            return cls(ingress, Relay(config.folder, config.name, "{}:{}".format(*config.listen)))
+            return cls(ingress, Relay(config.shared_folder, config.name, "{}:{}".format(*config.listen)))
         except OSError as error:
             log.error("%s has no word for other processes: %s: %s", config.name, error.filename,
                       error.strerror)
 
     @property
-    def relieved(self) -> bool:
+    def has_successor(self) -> bool:
         return (newer := self.turn.successor) is not None and self.relay.one_serves(newer)
 
     async def start(self) -> None:
@@ -49,10 +49,10 @@
         """What is due among the processes of this ingress."""
         ingress, turn, relay, before = self.ingress, self.turn, self.relay, {self.turn.predecessor} - {None}
         steps = turn.due_steps(relay.living(), {g for g in before if relay.has(g, False)},
-                          {g for g in before if relay.has(g, True)}, ingress.listed, time.monotonic())
+                          {g for g in before if relay.has(g, True)}, ingress.has_list, time.monotonic())
         for step in steps:
             if isinstance(step, SetProcessCount):
-                room = plan(ingress.config.sockets, step.processes)
+                room = plan(ingress.config.descriptor_limit, step.processes)
                 ingress.server.room, ingress.backends.max_connections = room, room.upstream
                 ingress.host.post(api.ProcessCount(step.processes))
             elif isinstance(step, SendState):
@@ -62,14 +62,14 @@
                 if (state := relay.read(step.generation, step.is_final)) is not None:
                     ingress.host.post(api.PredecessorState(state))
             elif isinstance(step, StartServing):
-                task = ingress.loop.create_task(ingress.server.listen(ingress.config.inherited))
+                task = ingress.loop.create_task(ingress.server.listen(ingress.config.inherited_socket))
                 task.add_done_callback(lambda task: self._serve())
         if not turn.is_serving:
             ingress.loop.call_later(TURN, self._turn)
 
     def _serve(self) -> None:
         self.relay.serves()
-        self.holds = False
+        self.blocks_readiness = False
         self.ingress.set_ready()
 
     def finish(self) -> None:
--- a/fennelpoint/net/route_matching.py
+++ b/fennelpoint/net/route_matching.py
@@ -10,7 +10,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.body_buffering import Upload
-from fennelpoint.component import Carrier, Part
+from fennelpoint.component import Component, IngressContext
 from fennelpoint.net.controller_host import ParsedRequest
 from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
 from fennelpoint.operator_config import Routes, read_operator
@@ -88,14 +88,14 @@
                      bare, upload)
 
 
-class RoutesPart(Part):
+class RoutesPart(Component):
     """Requests read by a description that is followed; turning it on or off takes a restart."""
 
-    def __init__(self, ingress: Carrier, routes: Routes) -> None:
+    def __init__(self, ingress: IngressContext, routes: Routes) -> None:
         config, self.ingress, self.routes = ingress.config, ingress, routes
-        reader = ingress.server.reader = RoutedReader(config.settings, config.read.table())
-        self.follower = Follower(ingress.loop, reader, config.settings, routes, config.read.files)
-        config.read = None      # its bytes are of no more use
+        reader = ingress.server.reader = RoutedReader(config.settings, config.description.table())
+        self.follower = Follower(ingress.loop, reader, config.settings, routes, config.description.files)
+        config.description = None      # its bytes are of no more use
         self.ruled = False      # the fleet's version holds the description
 
     async def start(self) -> None:
--- a/fennelpoint/routes/description.py
+++ b/fennelpoint/routes/description.py
@@ -25,7 +25,7 @@
 from fennelpoint.routes.paths import PathError, Segment, Template, overlap, parse_template
 from fennelpoint.routes.refs import At, Library, RefError
 from fennelpoint.routes.table import Parameter, Route, Units
-from fennelpoint.validation_errors import MOST_FAULTS, Fault, FaultyFile
+from fennelpoint.validation_errors import MAX_FAULTS, Fault, FaultyFile
 
 METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")
 SAFE_METHODS = frozenset(("get", "head", "options"))    # RFC 9110, section 9.2.1
@@ -72,7 +72,7 @@
     compiler = _Compiler(library, site)
     compiler.run()
     faults = sorted(set(compiler.faults + compiler.reader.faults), key=lambda f: (f.file, f.line, f.text))
-    return Loaded([] if faults else compiler.routes, faults[:MOST_FAULTS], library.stamps)
+    return Loaded([] if faults else compiler.routes, faults[:MAX_FAULTS], library.stamps)
 
 
 @cache
@@ -147,7 +147,7 @@
             place = _place([*prefix, *path])
             line = at.document.line_at(path, at.value)
             self.faults.append(Fault(at.document.name, line, place, short(str(error.message))))
-            if len(self.faults) > MOST_FAULTS:
+            if len(self.faults) > MAX_FAULTS:
                 break
         return sound
 
--- a/fennelpoint/testing/ingress_harness.py
+++ b/fennelpoint/testing/ingress_harness.py
@@ -53,19 +53,19 @@
         config = Config("n0", ("127.0.0.1", 0), parse_address(discovery, "discovery"),
                         parse_address(counter, "counter"), self.seed, 1024, settings,
                         parse_list(known, settings) if self.known else None, self.operator,
-                        door=("127.0.0.1", 0) if self.has_door else None)
+                        admin_address=("127.0.0.1", 0) if self.has_door else None)
         if self.operator is not None and (routes := self.operator.routes) is not None:
-            config.read = read_now(routes.description, settings, routes.load_memory_mb, routes.load_timeout_s)
-            if config.read.faults:
-                raise FaultyFile(list(config.read.faults))
+            config.description = read_now(routes.description, settings, routes.load_memory_mb, routes.load_timeout_s)
+            if config.description.faults:
+                raise FaultyFile(list(config.description.faults))
         if self.operator is not None and self.operator.cells is not None:
-            config.cells = read_plan(self.operator.cells.plan)
+            config.cell_plan = read_plan(self.operator.cells.plan)
         self.ingress = Ingress(asyncio.get_running_loop(), config)
         await self.ingress.start()
         self.address = self.ingress.server.listener.sockets[0].getsockname()
         if self.has_door:
-            self.door = self.ingress.parts["door"].listener.sockets[0].getsockname()
-        await until(lambda: self.ingress.life.is_ready)
+            self.door = self.ingress.components["door"].listener.sockets[0].getsockname()
+        await until(lambda: self.ingress.life_cycle.is_ready)
 
     def stop(self) -> None:
         self.ingress.close()
--- a/fennelpoint/validation_errors.py
+++ b/fennelpoint/validation_errors.py
@@ -1,15 +1,15 @@
-"""A fault found in a file before it is used: where it is, what is wrong, what would be right."""
+"""Errors found in a file before it is used: where they are, what is wrong, what would be right."""
 
 from __future__ import annotations
 
 from dataclasses import asdict, dataclass
 
-MOST_FAULTS = 500   # of one description: a file that is wrong all over needn't fill the screen
+MAX_FAULTS = 500    # reported for one file, so that a broken one does not flood the terminal
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Fault:
-    """One line for the operator; `line` counts from 1, 0 where the file as a whole is meant."""
+    """One error, printed as a line; `line` counts from 1, 0 stands for the file as a whole."""
 
     file: str
     line: int
@@ -25,7 +25,7 @@
 
 
 class FaultyFile(ValueError):
-    """A file that can't be used, with all faults that were found in it."""
+    """A file that cannot be used, with all errors found in it."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("\n".join(map(str, faults)))
--- a/tests/routes/test_serving.py
+++ b/tests/routes/test_serving.py
@@ -221,10 +221,10 @@
     async def test(made, backend) -> None:
         hang = [sys.executable, "-c", "import time; time.sleep(600)"]
         monkeypatch.setattr(worker, "command", lambda *_: hang)
-        made.ingress.parts["routes"].follower.changes.timeout = 0.2
+        made.ingress.components["routes"].follower.changes.timeout = 0.2
         made.ingress.reload()
         await until(lambda: "could not be read within" in caplog.text)
-        await until(lambda: not made.ingress.parts["routes"].follower.running)
+        await until(lambda: not made.ingress.components["routes"].follower.running)
         assert (await ask(made, asked()))[0].endswith("200 OK")
 
     play(tmp_path, test)
--- a/tests/routes/test_surge.py
+++ b/tests/routes/test_surge.py
@@ -109,7 +109,7 @@
         async with world(*backends, operator=operator, grades=GRADES_LONG, contracts=CONTRACTS,
                          extra=extra) as made:
             surge.watch(made)
-            follower, host = made.ingress.parts["routes"].follower, made.ingress.host
+            follower, host = made.ingress.components["routes"].follower, made.ingress.host
             clients = [asyncio.create_task(surge.client(made)) for _ in range(CLIENTS)]
             for number in range(1, RELOADS + 1):
                 path.write_text(text(BODIES[number % len(BODIES)], HEAD))
--- a/tests/routes/test_under_change.py
+++ b/tests/routes/test_under_change.py
@@ -42,7 +42,7 @@
     async def play() -> None:
         operator = Operator(routes=Routes(str(path)))
         async with world(backend, operator=operator, contracts=[PLAN], grades=GRADES, extra=extra) as made:
-            host, follower = made.ingress.host, made.ingress.parts["routes"].follower
+            host, follower = made.ingress.host, made.ingress.components["routes"].follower
             handle = host.controller.handle
 
             def handled(event, now):
--- a/tests/test_admin_socket.py
+++ b/tests/test_admin_socket.py
@@ -33,7 +33,7 @@
             for _ in range(2):
                 assert (await call(made, b"drain")).startswith("ACK draining")
                 assert (await call(made, b"ready")).startswith("NAK draining") and await status(made) == 503
-            await until(lambda: made.ingress.life.phase is Phase.DRAINED)
+            await until(lambda: made.ingress.life_cycle.phase is Phase.DRAINED)
             assert (await call(made, b"ready")).startswith("NAK drained") and await status(made) == 503
             for _ in range(2):
                 assert (await call(made, b"resume\r")).startswith("ACK serving")
@@ -46,12 +46,12 @@
     """What the ingress tells it goes by the one life-cycle, too."""
     async def play() -> None:
         async with world(Backend(), door=True) as made:
-            told = [made.ingress.word()[0]]
+            told = [made.ingress.heartbeat_state()[0]]
             for line in (b"drain", b"resume", b"drain"):
                 await call(made, line)
-                told.append(made.ingress.word()[0])
-            await until(lambda: made.ingress.life.phase is Phase.DRAINED)
-            assert told == ["up", "draining", "up", "draining"] and made.ingress.word()[0] == "draining"
+                told.append(made.ingress.heartbeat_state()[0])
+            await until(lambda: made.ingress.life_cycle.phase is Phase.DRAINED)
+            assert told == ["up", "draining", "up", "draining"] and made.ingress.heartbeat_state()[0] == "draining"
 
     run(play())
 
@@ -59,7 +59,7 @@
 def test_ready_is_no_before_there_is_a_list():
     async def play() -> None:
         async with world(Backend(), door=True) as made:
-            made.ingress.life.phase = Phase.STARTING
+            made.ingress.life_cycle.phase = Phase.STARTING
             assert (await call(made, b"ready")).startswith("NAK starting")
 
     run(play())
@@ -87,7 +87,7 @@
     async def play() -> None:
         async with world(Backend(), door=True) as made:
             assert (await call(made, line)).startswith("NAK ")
-            assert made.ingress.life.phase is Phase.SERVING
+            assert made.ingress.life_cycle.phase is Phase.SERVING
 
     run(play())
 
@@ -98,15 +98,15 @@
             silent = [await asyncio.open_connection(*made.door) for _ in range(3 * MAX_ADMIN_CALLERS)]
             for _, writer in silent[::2]:
                 writer.write(b"dra")
-            await until(lambda: len(made.ingress.parts["door"].callers) <= MAX_ADMIN_CALLERS)
+            await until(lambda: len(made.ingress.components["door"].callers) <= MAX_ADMIN_CALLERS)
             began = time.monotonic()
             assert (await call(made, b"ready")).startswith("ACK")
             assert time.monotonic() - began < 0.5
-            assert len(made.ingress.parts["door"].callers) <= MAX_ADMIN_CALLERS
-            assert made.ingress.life.phase is Phase.SERVING
+            assert len(made.ingress.components["door"].callers) <= MAX_ADMIN_CALLERS
+            assert made.ingress.life_cycle.phase is Phase.SERVING
             for _, writer in silent:
                 writer.close()
-            await until(lambda: not made.ingress.parts["door"].callers)
+            await until(lambda: not made.ingress.components["door"].callers)
 
     run(play())
 
@@ -124,7 +124,7 @@
             began = time.monotonic()
             await call(made, b"drain")
             assert await idle[0].read() == b"" and time.monotonic() - began < 1.0
-            assert made.ingress.life.phase is Phase.DRAINING     # requests are open
+            assert made.ingress.life_cycle.phase is Phase.DRAINING     # requests are open
             backend.answer = lambda *_: ok(b"second")
             for writer in backend.writers:
                 writer.write(ok(b"first"))
@@ -136,7 +136,7 @@
             assert (body, fields["connection"]) == (b"second", "close") and await behind[0].read() == b""
             for _, writer in (idle, held, behind):
                 writer.close()
-            await until(lambda: made.ingress.life.phase is Phase.DRAINED)
+            await until(lambda: made.ingress.life_cycle.phase is Phase.DRAINED)
 
     run(play())
 
@@ -153,7 +153,7 @@
             assert line.endswith("200 OK") and fields["connection"] == "close"
             line, fields, _ = await ask(made, request())
             assert line.endswith("200 OK") and fields["connection"] == "close"
-            await until(lambda: made.ingress.life.phase is Phase.DRAINED)
+            await until(lambda: made.ingress.life_cycle.phase is Phase.DRAINED)
             line, fields, _ = await ask(made, request())    # the front forgot: still one answer
             assert line.endswith("200 OK") and fields["connection"] == "close"
             kept[1].close()
@@ -204,7 +204,7 @@
 def test_without_the_setting_there_is_no_door():
     async def play() -> None:
         async with world(Backend()) as made:
-            assert "door" not in made.ingress.parts
+            assert "door" not in made.ingress.components
 
     run(play())
 
@@ -234,6 +234,6 @@
             assert line.endswith("200 OK") and body == b"yes" and fields["connection"] == "close"
             assert await kept[0].read() == b"" and backend.seen[-1][2] == b"0123456789"
             kept[1].close()
-            await until(lambda: made.ingress.life.phase is Phase.DRAINED)
+            await until(lambda: made.ingress.life_cycle.phase is Phase.DRAINED)
 
     run(play())
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -135,7 +135,7 @@
             "settings = from_json(json.load(open(sys.argv[2]))['settings'])\n"
             "nine = ('127.0.0.1', 9)\n"
             "config = program.Config('n0', nine, nine, nine, 1, 1024, settings, None)\n"
-            "program.add_operator(config, sys.argv[1])\n"
+            "program.load_operator_file(config, sys.argv[1])\n"
             "async def make(): return len(program.Ingress(asyncio.get_running_loop(), config)"
             ".server.reader.table.routes)\n"
             "routes = asyncio.run(make())\n"
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -229,8 +229,8 @@
             reader._limit = 64 * 1024
             writer.write(request())
             line, fields = await head_of(reader)
-            made.ingress.life.handle(Event.DRAIN, time.monotonic())
-            made.ingress.look()
+            made.ingress.life_cycle.handle(Event.DRAIN, time.monotonic())
+            made.ingress.check_shutdown()
             got = b""
             while len(got) < len(BODY):
                 got += await reader.readexactly(min(256 * 1024, len(BODY) - len(got)))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -48,7 +48,7 @@
             asked = len(made.list.asked)
             second.tell(member("s-0", old.address))
             await until(lambda: "s-0" in upstreams)
-            assert len(made.list.asked) == asked and made.ingress.coming is None
+            assert len(made.list.asked) == asked and made.ingress.next_discovery is None
             for fake in (new, silent, second):
                 fake.stop()
 
@@ -64,7 +64,7 @@
                 made.ingress.reload()
             (tmp_path / "config").write_text('{"name": "n0", "disc')
             made.ingress.reload()
-            assert made.ingress.discovery is discovery and made.ingress.coming is None
+            assert made.ingress.discovery is discovery and made.ingress.next_discovery is None
             assert made.ingress.counter.connection is line and caplog.text.count("keeps its configuration") == 4
             assert (await ask(made, request()))[0].endswith("200 OK")
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -174,7 +174,7 @@
         async with world(Backend()) as made:
             data = b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
             assert (await ask(made, data))[0].split()[1] == "200"
-            made.ingress.life.phase = Phase.STARTING
+            made.ingress.life_cycle.phase = Phase.STARTING
             assert (await ask(made, data))[0].split()[1] == "503"
 
     run(play())
@@ -189,7 +189,7 @@
             writer.write(request("book", b"x", left=5000))
             await until(lambda: backend.seen)
             made.ingress.stop()
-            assert not made.ingress.life.is_ready
+            assert not made.ingress.life_cycle.is_ready
             backend.answer = lambda *_: ok(b"yes")
             line, fields, _ = await ask(made, request())    # the front has not noticed yet
             assert line.split()[1] == "200" and fields["connection"] == "close"
