--- a/fennelpoint/__main__.py
+++ b/fennelpoint/__main__.py
@@ -25,7 +25,7 @@
 from fennelpoint.net.controller_host import ControllerHost
 from fennelpoint.net.counter import Counter
 from fennelpoint.net.discovery import Address, Discovery, Listing, parse_address, parse_list
-from fennelpoint.net.graceful_shutdown import Leaving
+from fennelpoint.net.graceful_shutdown import GracefulShutdown
 from fennelpoint.net.server import Server
 from fennelpoint.rate_limited_log import log
 from fennelpoint.settings import from_json
@@ -170,7 +170,7 @@
         self.next_discovery: Discovery | None = None    # after a reload, until it has sent its list
         self.life_cycle = LifeCycle(time.monotonic())
         self.server = Server(loop, self.host, descriptors, self.life_cycle)
-        self.check_shutdown = Leaving(loop, self.life_cycle, self.server, self.host, self._finish).look
+        self.check_shutdown = GracefulShutdown(loop, self.life_cycle, self.server, self.host, self._finish).check
         self.components = create_components(self)   # those that are enabled, by name
         self.host.list_observers = [component.follow for component in self.components.values()]
 
@@ -259,7 +259,7 @@
             self.counter.sweep()
 
     def stop(self) -> None:
-        """On SIGTERM, become unready unless a successor serves, accept requests a moment longer, then finish and end."""
+        """On SIGTERM, become unready unless a successor serves, accept requests a moment longer, then end."""
         if self.life_cycle.is_ending:
             return
         log.info("%s stops", self.config.name)
--- a/fennelpoint/components.py
+++ b/fennelpoint/components.py
@@ -17,12 +17,12 @@
     if config.admin_address is None:
         return None
     from fennelpoint.file_descriptors import plan
-    from fennelpoint.net.admin_socket import Door
+    from fennelpoint.net.admin_socket import AdminSocket
 
     def summary() -> str:
         return f": {len(ingress.server.connections)} connections, {ingress.host.unanswered_count} requests open"
 
-    return Door(ingress.loop, config.admin_address, ingress.life_cycle, config.name,
+    return AdminSocket(ingress.loop, config.admin_address, ingress.life_cycle, config.name,
                 plan(config.descriptor_limit).admin_callers, ingress.check_shutdown, summary)
 
 
@@ -42,9 +42,9 @@
     config = ingress.config
     if config.operator is None or (routes := config.operator.routes) is None:
         return None
-    from fennelpoint.net.route_matching import RoutesPart
+    from fennelpoint.net.route_matching import RoutesComponent
 
-    return RoutesPart(ingress, routes)
+    return RoutesComponent(ingress, routes)
 
 
 def _announce(ingress: IngressContext) -> Component | None:
@@ -52,18 +52,18 @@
     if ingress.config.operator is None or (announce := ingress.config.operator.announce) is None:
         return None
     from fennelpoint.net.discovery import parse_address
-    from fennelpoint.net.heartbeat import Beat
+    from fennelpoint.net.heartbeat import Heartbeat
 
-    return Beat(ingress.loop, parse_address(announce.beat_listen, "beat_listen"), ingress.heartbeat_state)
+    return Heartbeat(ingress.loop, parse_address(announce.beat_listen, "beat_listen"), ingress.heartbeat_state)
 
 
 def _twins(ingress: IngressContext) -> Component | None:
     """Coordination with the other processes of this ingress, if the platform holds its socket."""
     if ingress.config.inherited_socket is None or not ingress.config.shared_folder:
         return None
-    from fennelpoint.net.process_group import TwinsPart
+    from fennelpoint.net.process_group import ProcessGroup
 
-    return TwinsPart.made(ingress)
+    return ProcessGroup.create(ingress)
 
 
 def _fleet(ingress: IngressContext) -> Component | None:
--- a/fennelpoint/net/__init__.py
+++ b/fennelpoint/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets of the ingress: bytes become `interface` events, actions become bytes.  It decides nothing."""
+"""The network side of the ingress: turns input into `interface` events, and actions into output.  Decides nothing."""
--- a/fennelpoint/net/backends.py
+++ b/fennelpoint/net/backends.py
@@ -28,7 +28,7 @@
 )
 from fennelpoint.connecting import connect
 from fennelpoint.interface import BackendState, Roster, RosterKind, Status
-from fennelpoint.net.flow_control import Paced
+from fennelpoint.net.flow_control import BoundedReadProtocol
 from fennelpoint.rate_limited_log import warn_limited
 
 MAX_RECEIVED_BYTES = 2 * MAX_BUFFERED_BYTES     # of a buffered response with its head and framing
@@ -126,7 +126,7 @@
         return self.state is BackendState.READY and not self.retired
 
 
-class UpstreamConnection(Paced):
+class UpstreamConnection(BoundedReadProtocol):
     """A persistent connection that carries one exchange at a time."""
 
     __slots__ = ("pool", "upstream", "transport", "exchange", "first_exchange", "parser", "is_flushed", "idle_since",
@@ -325,7 +325,7 @@
         self.exchange = self.receiver = None
         if self.is_paused:
             self.resume()
-        if self.bounded:
+        if self.reads_bounded:
             self.bound_reads(False)
         if self.has_excess or not is_request_written or not self.keep_alive or not self.upstream.is_usable:
             self.close()
--- a/fennelpoint/net/controller_host.py
+++ b/fennelpoint/net/controller_host.py
@@ -83,7 +83,7 @@
     is_write: bool
     head: bytes     # request line and end-to-end fields, without the time left
     body: bytes
-    is_head: bool = False   # a HEAD request: its response has no body
+    is_head_request: bool = False   # its response has no body
     upload: Upload | None = None    # its body, if that is streamed
     upload_expected_s: float = 0.0  # seconds in which the rest of the upload should arrive
     cell: str = ""          # the backends that may serve it, if the parser knows them
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -13,7 +13,7 @@
 from fennelpoint.invariants import Invariant, violations
 from fennelpoint.lifecycle import Event as LifeCycleEvent
 from fennelpoint.lifecycle import LifeCycle
-from fennelpoint.net.graceful_shutdown import Leaving
+from fennelpoint.net.graceful_shutdown import GracefulShutdown
 from fennelpoint.net.server import Server
 from fennelpoint.state import Cut
 from fennelpoint.system.actions import Send
@@ -99,7 +99,7 @@
         self.refresh_throttle = Paced(REFRESH_INTERVAL_S)
         self.refresh_timer: asyncio.TimerHandle | None = None
         self.stopped = loop.create_future()
-        self.check_shutdown = Leaving(loop, self.life_cycle, self.server, self.host, self._end).look
+        self.check_shutdown = GracefulShutdown(loop, self.life_cycle, self.server, self.host, self._end).check
 
     def has_valid_lease(self) -> bool:
         """Whether requests may be judged by the configuration in force; records a violation of its age bound."""
@@ -187,8 +187,8 @@
     def _apply_config(self, number: int, data: bytes) -> None:
         version = compile_version(zlib.decompress(data))
         self.reader.apply_version(version)
-        self.server.idle_timeout = max(5.0, version.limits.idle_timeout)
-        self.server.head_timeout = max(2.5, version.limits.header_timeout)
+        self.server.idle_timeout_s = max(5.0, version.limits.idle_timeout)
+        self.server.head_timeout_s = max(2.5, version.limits.header_timeout)
         self.update_catalogue()
         self._update_shares()
         self._refresh_backends()
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -43,8 +43,8 @@
 
     async def scenario() -> None:
         async with world(Backend()) as made:
-            made.ingress.server.room = Plan(2, 0, 20)
-            made.ingress.server.head_timeout = MINUTE
+            made.ingress.server.descriptor_plan = Plan(2, 0, 20)
+            made.ingress.server.head_timeout_s = MINUTE
             slow, data = await made.connect(), request(left=5000)
             slow[1].write(data[:30])
             idle = []
@@ -66,7 +66,7 @@
     async def scenario() -> None:
         backend = Backend(lambda *_: None)
         async with world(backend) as made:
-            made.ingress.server.room = Plan(2, 0, 4)
+            made.ingress.server.descriptor_plan = Plan(2, 0, 4)
             busy = [await made.connect() for _ in range(4)]
             for _, writer in busy:
                 writer.write(request(left=9000))
@@ -86,7 +86,7 @@
 def test_no_more_connections_are_evicted_than_necessary():
     async def scenario() -> None:
         async with world(Backend()) as made:
-            made.ingress.server.room = Plan(2, 0, 20)
+            made.ingress.server.descriptor_plan = Plan(2, 0, 20)
             idle = []
             for i in range(32):
                 idle.append(await made.connect())
@@ -103,7 +103,7 @@
     """Guards against a fault seen in a replayed incident: incomplete requests evicted the front proxy's own."""
     async def scenario() -> None:
         async with world(Backend()) as made:
-            made.ingress.server.room = Plan(2, 0, 8)
+            made.ingress.server.descriptor_plan = Plan(2, 0, 8)
             front = await made.connect()
             for _ in range(2):
                 front[1].write(request())
