--- a/fennelpoint/component.py
+++ b/fennelpoint/component.py
@@ -16,12 +16,12 @@
     loop: asyncio.AbstractEventLoop
     config: Any             # what the ingress was started with, checked
     host: Any               # drives the decision module: `post`, `controller`, `may_send`, `cells`
-    server: Any             # the client side: `listen`, `reader`, `room`, `connections`
+    server: Any             # the client side: `listen`, `reader`, `descriptor_plan`, `connections`
     backends: Any           # the upstream connection pools
     discovery: Any          # the list of backends: `known_addresses`
     life_cycle: LifeCycle
     components: dict[str, Component]    # those that are enabled, by name
-    check_shutdown: Callable[[], None]  # carries out what the life cycle has due
+    check_shutdown: Callable[[], None]  # carries out the steps that are due
     has_list: bool          # there is a list of backends
     operator_path: str
 
--- a/fennelpoint/components.py
+++ b/fennelpoint/components.py
@@ -11,7 +11,7 @@
 from fennelpoint.component import Component, IngressContext
 
 
-def _door(ingress: IngressContext) -> Component | None:
+def _admin_socket(ingress: IngressContext) -> Component | None:
     """The admin socket."""
     config = ingress.config
     if config.admin_address is None:
@@ -47,7 +47,7 @@
     return RoutesComponent(ingress, routes)
 
 
-def _announce(ingress: IngressContext) -> Component | None:
+def _heartbeat(ingress: IngressContext) -> Component | None:
     """The heartbeat to the announcer on this machine."""
     if ingress.config.operator is None or (announce := ingress.config.operator.announce) is None:
         return None
@@ -57,7 +57,7 @@
     return Heartbeat(ingress.loop, parse_address(announce.beat_listen, "beat_listen"), ingress.heartbeat_state)
 
 
-def _twins(ingress: IngressContext) -> Component | None:
+def _process_group(ingress: IngressContext) -> Component | None:
     """Coordination with the other processes of this ingress, if the platform holds its socket."""
     if ingress.config.inherited_socket is None or not ingress.config.shared_folder:
         return None
@@ -76,7 +76,7 @@
 
 
 FACTORIES: dict[str, Callable[[IngressContext], Component | None]] = {
-    "door": _door, "cells": _cells, "routes": _routes, "announce": _announce, "twins": _twins,
+    "door": _admin_socket, "cells": _cells, "routes": _routes, "announce": _heartbeat, "twins": _process_group,
     "fleet": _fleet}
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -129,10 +129,10 @@
 def test_the_ingress_serves_with_its_last_list_while_discovery_is_down():
     async def scenario() -> None:
         backend = Backend()
-        async with world(backend) as made:
-            made.list.stop()
-            await until(lambda: made.ingress.discovery.transport is None)
-            assert (await ask(made, request()))[2] == b"yes"
+        async with world(backend) as harness:
+            harness.list.stop()
+            await until(lambda: harness.ingress.discovery.transport is None)
+            assert (await ask(harness, request()))[2] == b"yes"
 
     run(scenario())
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -42,18 +42,18 @@
     monkeypatch.setattr(file_descriptors, "MIN_IDLE_S", MINUTE)
 
     async def scenario() -> None:
-        async with world(Backend()) as made:
-            made.ingress.server.descriptor_plan = Plan(2, 0, 20)
-            made.ingress.server.head_timeout_s = MINUTE
-            slow, data = await made.connect(), request(left=5000)
+        async with world(Backend()) as harness:
+            harness.ingress.server.descriptor_plan = Plan(2, 0, 20)
+            harness.ingress.server.head_timeout_s = MINUTE
+            slow, data = await harness.connect(), request(left=5000)
             slow[1].write(data[:30])
             idle = []
             for _ in range(60):
-                idle.append(await made.connect())
+                idle.append(await harness.connect())
                 idle[-1][1].write(request())
                 await read_message(idle[-1][0])
                 await asyncio.sleep(0.02)
-            assert len(made.ingress.server.connections) <= 21
+            assert len(harness.ingress.server.connections) <= 21
             slow[1].write(data[30:])
             assert (await read_message(slow[0]))[0].endswith("200 OK")
             for _, writer in (slow, *idle):
@@ -65,14 +65,14 @@
 def test_a_connection_with_an_open_request_is_not_evicted():
     async def scenario() -> None:
         backend = Backend(lambda *_: None)
-        async with world(backend) as made:
-            made.ingress.server.descriptor_plan = Plan(2, 0, 4)
-            busy = [await made.connect() for _ in range(4)]
+        async with world(backend) as harness:
+            harness.ingress.server.descriptor_plan = Plan(2, 0, 4)
+            busy = [await harness.connect() for _ in range(4)]
             for _, writer in busy:
                 writer.write(request(left=9000))
             await until(lambda: len(backend.seen) == 4)
-            others = [await made.connect() for _ in range(10)]
-            await until(lambda: len(made.ingress.server.connections) <= 5)
+            others = [await harness.connect() for _ in range(10)]
+            await until(lambda: len(harness.ingress.server.connections) <= 5)
             for writer in backend.writers:
                 writer.write(ok(b"yes"))
             for reader, _ in busy:
@@ -85,14 +85,14 @@
 
 def test_no_more_connections_are_evicted_than_necessary():
     async def scenario() -> None:
-        async with world(Backend()) as made:
-            made.ingress.server.descriptor_plan = Plan(2, 0, 20)
+        async with world(Backend()) as harness:
+            harness.ingress.server.descriptor_plan = Plan(2, 0, 20)
             idle = []
             for i in range(32):
-                idle.append(await made.connect())
+                idle.append(await harness.connect())
                 idle[-1][1].write(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
                 await read_message(idle[-1][0])
-                assert len(made.ingress.server.connections) == min(20, i + 1)
+                assert len(harness.ingress.server.connections) == min(20, i + 1)
             for _, writer in idle:
                 writer.close()
 
@@ -102,15 +102,15 @@
 def test_a_reused_connection_is_kept_ahead_of_heads_that_never_end():
     """Guards against a fault seen in a replayed incident: incomplete requests evicted the front proxy's own."""
     async def scenario() -> None:
-        async with world(Backend()) as made:
-            made.ingress.server.descriptor_plan = Plan(2, 0, 8)
-            front = await made.connect()
+        async with world(Backend()) as harness:
+            harness.ingress.server.descriptor_plan = Plan(2, 0, 8)
+            front = await harness.connect()
             for _ in range(2):
                 front[1].write(request())
                 await read_message(front[0])
             partial = []
             for _ in range(24):
-                partial.append(await made.connect())
+                partial.append(await harness.connect())
                 partial[-1][1].write(b"GET /api HTTP/1.1\r\nX-Txn: 1\r\n")
                 await asyncio.sleep(0.02)
             front[1].write(request())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -21,13 +21,13 @@
     """Guards against reading keep-alive after the parser has forgotten it: each attempt opened a new connection."""
     async def scenario() -> None:
         backend = Backend()
-        async with world(backend) as made:
+        async with world(backend) as harness:
             for _ in range(5):
-                line, _, body = await ask(made, request())
+                line, _, body = await ask(harness, request())
                 assert line == "HTTP/1.1 200 OK" and body == b"yes"
             assert len(backend.seen) == 5 and backend.opened == 1
-            await until(lambda: len(made.list.asked) > 4)
-            assert made.list.opened == 1
+            await until(lambda: len(harness.list.asked) > 4)
+            assert harness.list.opened == 1
 
     run(scenario())
 
@@ -35,8 +35,8 @@
 def test_a_request_is_forwarded_with_its_method_path_body_and_id():
     async def scenario() -> None:
         backend = Backend(lambda line, fields, body: ok(body[::-1]))
-        async with world(backend) as made:
-            answer = await ask(made, request("book", b"0123", left=5000, path="/api/x?y=1", X_Txn="abc"))
+        async with world(backend) as harness:
+            answer = await ask(harness, request("book", b"0123", left=5000, path="/api/x?y=1", X_Txn="abc"))
             assert answer[2] == b"3210"
             line, fields, body = backend.seen[0]
             assert (line, body, fields["x-txn"]) == ("POST /api/x?y=1 HTTP/1.1", b"0123", "abc")
@@ -58,8 +58,8 @@
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_retried(answer, expected):
     async def scenario() -> None:
         backends = [Backend(lambda *_: answer), Backend(lambda *_: answer)]
-        async with world(*backends) as made:
-            got = await ask(made, request("book", b"x", left=600))
+        async with world(*backends) as harness:
+            got = await ask(harness, request("book", b"x", left=600))
             assert status(got) == (expected or FAILED)
             assert sum(len(b.seen) for b in backends) == 1
 
@@ -70,8 +70,8 @@
     async def scenario() -> None:
         answers = iter([ok(b"", "503 Busy", "X-Turned-Away: 1\r\n"), ok(b"yes")])
         backend = Backend(lambda *_: next(answers))
-        async with world(backend) as made:
-            assert status(await ask(made, request("book", b"x", left=5000))) == SERVED
+        async with world(backend) as harness:
+            assert status(await ask(harness, request("book", b"x", left=5000))) == SERVED
             assert len(backend.seen) == 2 and backend.opened == 1
 
     run(scenario())
@@ -80,10 +80,10 @@
 def test_after_a_refused_connect_the_request_goes_to_another_backend():
     async def scenario() -> None:
         down, up = Backend(), Backend()
-        async with world(down, up) as made:
+        async with world(down, up) as harness:
             down.stop()
             for _ in range(4):
-                assert status(await ask(made, request("book", b"x", left=5000))) == SERVED
+                assert status(await ask(harness, request("book", b"x", left=5000))) == SERVED
             assert len(up.seen) == 4
 
     run(scenario())
@@ -93,11 +93,11 @@
     """If the connection were reused, the next request would get the previous one's response."""
     async def scenario() -> None:
         backend = Backend(lambda *_: None)
-        async with world(backend) as made:
-            assert status(await ask(made, request("book", b"1", left=200))) == FAILED
+        async with world(backend) as harness:
+            assert status(await ask(harness, request("book", b"1", left=200))) == FAILED
             backend.writers[0].write(ok(b"late"))
             backend.answer = lambda *_: ok(b"its own")
-            assert (await ask(made, request("book", b"2", left=5000)))[2] == b"its own"
+            assert (await ask(harness, request("book", b"2", left=5000)))[2] == b"its own"
             assert backend.opened == 2
 
     run(scenario())
@@ -107,9 +107,9 @@
 def test_a_response_with_excess_bytes_is_used_and_its_connection_closed(excess):
     async def scenario() -> None:
         backend = Backend(lambda *_: ok(b"yes") + excess)
-        async with world(backend) as made:
+        async with world(backend) as harness:
             for _ in range(2):
-                assert (await ask(made, request()))[2] == b"yes"
+                assert (await ask(harness, request()))[2] == b"yes"
             assert backend.opened == 2
 
     run(scenario())
@@ -118,8 +118,8 @@
 def test_an_interim_response_is_skipped():
     async def scenario() -> None:
         backend = Backend(lambda *_: b"HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n" + ok(b"yes"))
-        async with world(backend) as made:
-            assert (await ask(made, request()))[2] == b"yes"
+        async with world(backend) as harness:
+            assert (await ask(harness, request()))[2] == b"yes"
 
     run(scenario())
 
@@ -127,10 +127,10 @@
 def test_an_idle_connection_that_the_backend_closed_is_not_reused():
     async def scenario() -> None:
         backend = Backend()
-        async with world(backend) as made:
-            await ask(made, request())
+        async with world(backend) as harness:
+            await ask(harness, request())
             backend.writers[0].close()
-            assert status(await ask(made, request("book", b"x", left=5000))) == SERVED
+            assert status(await ask(harness, request("book", b"x", left=5000))) == SERVED
             assert backend.opened == 2
 
     run(scenario())
@@ -139,18 +139,18 @@
 def test_a_draining_backend_gets_no_requests_and_a_restarted_one_new_connections():
     async def scenario() -> None:
         one, two = Backend(), Backend()
-        async with world(one, two) as made:
-            upstreams = made.ingress.backends.upstreams
-            made.list.tell(member("s-0", one.address, "draining"))
+        async with world(one, two) as harness:
+            upstreams = harness.ingress.backends.upstreams
+            harness.list.tell(member("s-0", one.address, "draining"))
             await until(lambda: not upstreams["s-0"].is_usable)
             for _ in range(6):
-                await ask(made, request())
+                await ask(harness, request())
             assert len(one.seen) == 0 and len(two.seen) == 6
             before = two.opened
-            made.list.tell(member("s-0", one.address, "removed"),
+            harness.list.tell(member("s-0", one.address, "removed"),
                            member("s-1", two.address, up_since_ms=1000))
             await until(lambda: upstreams["s-1"].started_at == 1.0)
-            await ask(made, request())
+            await ask(harness, request())
             assert two.opened == before + 1 and "s-0" not in upstreams
 
     run(scenario())
@@ -159,8 +159,8 @@
 def test_a_backend_that_begins_to_drain_during_the_connect_gets_no_bytes():
     async def scenario() -> None:
         backend = Backend()
-        async with world(backend) as made:
-            pool, ended = made.ingress.backends, []
+        async with world(backend) as harness:
+            pool, ended = harness.ingress.backends, []
             pool.begin(Exchange(lambda: b"GET / HTTP/1.1\r\n\r\n", lambda *end: ended.append(end)), "s-0")
             pool.upstreams["s-0"].state = BackendState.DRAINING     # as discovery would during the connect
             await until(lambda: ended)
@@ -174,12 +174,12 @@
 def test_a_request_to_a_silent_backend_fails_at_its_deadline():
     async def scenario() -> None:
         backend = Backend(lambda *_: None)
-        async with world(backend) as made:
+        async with world(backend) as harness:
             loop = asyncio.get_running_loop()
             began = loop.time()
-            assert status(await ask(made, request("book", b"x", left=300))) == FAILED
+            assert status(await ask(harness, request("book", b"x", left=300))) == FAILED
             assert loop.time() - began >= 0.29
-            assert not made.ingress.host.open_requests
+            assert not harness.ingress.host.open_requests
 
     run(scenario())
 
@@ -193,12 +193,12 @@
 def test_a_response_that_stays_incomplete_does_not_hold_its_request(answer):
     async def scenario() -> None:
         backend = Backend(lambda *_: answer)
-        async with world(backend) as made:
+        async with world(backend) as harness:
             loop = asyncio.get_running_loop()
             began = loop.time()
-            assert status(await ask(made, request("book", b"x", left=20_000))) == FAILED
+            assert status(await ask(harness, request("book", b"x", left=20_000))) == FAILED
             assert loop.time() - began < 10.0
-            await until(lambda: not made.ingress.backends.all)
+            await until(lambda: not harness.ingress.backends.all)
 
     run(scenario())
 
@@ -206,16 +206,16 @@
 def test_a_local_shortage_of_connections_is_no_failure_of_the_backend():
     async def scenario() -> None:
         backend = Backend(lambda *_: None)
-        async with world(backend) as made:
-            pool, ended = made.ingress.backends, []
-            reader, writer = await made.connect()
+        async with world(backend) as harness:
+            pool, ended = harness.ingress.backends, []
+            reader, writer = await harness.connect()
             writer.write(request("book", b"x", left=20_000))
             await until(lambda: backend.seen)
             pool.max_connections = 1
             pool.begin(Exchange(lambda: b"", lambda *end: ended.append(end)), "s-0")
             assert ended == [(Status.MOOT, None)]
-            assert status(await ask(made, request(left=2000))) == REFUSED
-            known = made.ingress.host.controller.fleet.backends["s-0"]
+            assert status(await ask(harness, request(left=2000))) == REFUSED
+            known = harness.ingress.host.controller.fleet.backends["s-0"]
             assert known.fails == 0 and known.slow == 1.0
             writer.close()
 
@@ -230,8 +230,8 @@
 def test_a_probe_whose_report_is_nested_too_deep_succeeds_without_a_report():
     async def scenario() -> None:
         backend = Backend(lambda line, *_: ok(b"[" * 60_000))
-        async with world(backend, report={"via": "probe", "fields": "util"}) as made:
-            host, events = made.ingress.host, []
+        async with world(backend, report={"via": "probe", "fields": "util"}) as harness:
+            host, events = harness.ingress.host, []
             host.controller.handle = lambda event, now: events.append(event) or []
             host._probe(Probe("s-0"))
             await until(lambda: events)
@@ -244,18 +244,18 @@
     """Counting refused requests as spent would use up a customer's quota at all its ingresses."""
     async def scenario() -> None:
         plan = {"name": "basic", "pays": 1.0, "quota_rate": 10.0, "store_size": 20.0}
-        async with world(Backend(), contracts=[plan]) as made:
+        async with world(Backend(), contracts=[plan]) as harness:
             statuses: list[str] = []
 
             async def send_requests() -> None:
-                while made.count.calls.count(ACCOUNT) < 5 or statuses.count(REFUSED) < 50:
-                    answer = await ask(made, request(Api_Terms="units=1,spread=1,first=0"))
+                while harness.count.calls.count(ACCOUNT) < 5 or statuses.count(REFUSED) < 50:
+                    answer = await ask(harness, request(Api_Terms="units=1,spread=1,first=0"))
                     statuses.append(status(answer))
 
             await asyncio.gather(*(send_requests() for _ in range(30)))
-            served, total = statuses.count(SERVED), made.count.totals[ACCOUNT]
+            served, total = statuses.count(SERVED), harness.count.totals[ACCOUNT]
             assert 0 < total <= served
-            assert sum(made.count.totals.values()) > served     # refused units are counted under another name
+            assert sum(harness.count.totals.values()) > served     # refused units are counted under another name
 
     run(scenario())
 
@@ -270,10 +270,10 @@
                 return ok(b"", "503 Service Unavailable", "X-Turned-Away: 1\r\n")
             return ok(b"yes")
 
-        async with world(*(Backend(answer, 0.02) for _ in range(8))) as made:
-            control = made.ingress.host.controller
+        async with world(*(Backend(answer, 0.02) for _ in range(8))) as harness:
+            control = harness.ingress.host.controller
             before = control.limiter.window
-            statuses = [status(a) for a in await asyncio.gather(*(ask(made, request()) for _ in range(24)))]
+            statuses = [status(a) for a in await asyncio.gather(*(ask(harness, request()) for _ in range(24)))]
             assert next(turned_away, None) is None
             assert statuses.count(SERVED) > 12 and control.limiter.window > before / 4
 
