--- a/fennelpoint/net/heartbeat.py
+++ b/fennelpoint/net/heartbeat.py
@@ -10,13 +10,13 @@
 import os
 from collections.abc import Callable
 
-from fennelpoint.component import Part
+from fennelpoint.component import Component
 
 HEARTBEAT_INTERVAL_S = 0.2
 RECONNECT_DELAY_S = 0.5
 
 
-class Heartbeat(Part, asyncio.Protocol):
+class Heartbeat(Component, asyncio.Protocol):
     """The connection to the announcer; reconnects when it is lost."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int],
--- a/fennelpoint/net/request_parser.py
+++ b/fennelpoint/net/request_parser.py
@@ -9,7 +9,7 @@
 from fennelpoint import interface as api
 from fennelpoint.body_buffering import Upload
 from fennelpoint.net.backends import HOP_BY_HOP
-from fennelpoint.net.controller_host import Asked
+from fennelpoint.net.controller_host import ParsedRequest
 
 MAX_REMAINING_MS = 600_000  # ten minutes; a larger value is taken for an error
 CUSTOMER_ID_LIMIT = 1 << 33  # exclusive
@@ -59,9 +59,9 @@
 
 def body_framing_field(body: bytes, upload: Upload | None) -> bytes:
     """The header field that frames the body for a backend."""
-    if upload is not None and upload.length is None:
+    if upload is not None and upload.content_length is None:
         return b"transfer-encoding: chunked"
-    return b"content-length: %d" % (len(body) if upload is None else upload.length)
+    return b"content-length: %d" % (len(body) if upload is None else upload.content_length)
 
 
 class RequestReader:
@@ -99,7 +99,7 @@
 
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes, upload: Upload | None = None
-    ) -> Asked:
+    ) -> ParsedRequest:
         """Return the request for the decision module; raise BadRequest, or LocalReply if it is answered here.
 
         With an `upload`, the body is incomplete and will be streamed.
@@ -119,7 +119,7 @@
         if not is_safe:
             lines.append(body_framing_field(body, upload))
         customer = self._read_customer(self._require(routing_fields, b"cookie"))
-        return Asked(
+        return ParsedRequest(
             txn,
             cls,
             plan,
--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -17,11 +17,11 @@
 
 import httptools
 
-from fennelpoint.body_buffering import MOST, STOPPED, Account, Pace, Upload
-from fennelpoint.file_descriptors import YOUNG, Leaves, Plan, who_leaves
+from fennelpoint.body_buffering import BODY_STALL_TIMEOUT_S, MAX_BODY_BYTES, Account, Pace, Upload
+from fennelpoint.file_descriptors import MIN_SILENT_S, Evictable, Plan, choose_eviction
 from fennelpoint.lifecycle import LifeCycle
-from fennelpoint.net.backends import HOP_BY_HOP, Answer
-from fennelpoint.net.controller_host import Asked, Host, Source
+from fennelpoint.net.backends import HOP_BY_HOP, Response
+from fennelpoint.net.controller_host import ControllerHost, ParsedRequest, Source
 from fennelpoint.net.flow_control import BoundedReadProtocol
 from fennelpoint.net.request_parser import BadRequest, LocalReply, RequestReader
 
@@ -61,7 +61,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         # Parsed requests that wait for the response before them, each with its keep-alive flag.
-        self.pending: deque[tuple[Asked | BadRequest | LocalReply | bytes, bool]] = deque()
+        self.pending: deque[tuple[ParsedRequest | BadRequest | LocalReply | bytes, bool]] = deque()
         self.open_request: int | None = None    # id of the request that is being served
         self.ignores_input = False              # after an error or the last response: input is discarded
         self.keep_alive = True                  # whether the connection outlives the current request
@@ -115,7 +115,7 @@
     def resume_writing(self) -> None:
         self.is_write_paused = False
         if self.source is not None:
-            self.account.hold(self.transport.get_write_buffer_size())
+            self.account.set_used(self.transport.get_write_buffer_size())
             self.source.resume()
         self._serve_next()
 
@@ -157,15 +157,15 @@
         if self.expects_continue and self.open_request is None and not self.pending:
             self.expects_continue, self.pace = False, Pace(now)
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        self.pace.got = self.body_size
+        self.pace.received_bytes = self.body_size
         if self.upload is None and self.queue is not self.server.receiving_body and self.open_request is None:
             self._enter_queue(self.server.receiving_body)
         if self.upload is not None:
             if self.open_request is not None:
-                self.server.host.came(self.open_request)
+                self.server.host.body_arrived(self.open_request)
         else:
-            self.account.hold(self.body_size)
-            if self.body_size >= self.budget.held and self.open_request is None and not self.pending:
+            self.account.set_used(self.body_size)
+            if self.body_size >= self.budget.upload_buffer_bytes and self.open_request is None and not self.pending:
                 self._start_streaming_upload(now)
         if not self.ignores_input:   # else reads on and discards, as a reset would lose the response
             self._apply_back_pressure(now)
@@ -180,20 +180,20 @@
         upload.add(b"".join(self.body_pieces))
         self.body_pieces, self.upload = [], upload
         if isinstance(request, LocalReply):    # the rest of its body is read and discarded
-            upload.drop()
+            upload.discard()
             self.account.close()
         else:
-            request.coming = self.pace.expected(now, upload.missing)
-            self.account.flow()
+            request.upload_expected_s = self.pace.expected_s(now, upload.missing_bytes)
+            self.account.start_stream()
         self.pending.append((request, self.parser.should_keep_alive()))
 
     def _apply_back_pressure(self, now: float) -> None:
         """Pause reading while the body's buffer is full."""
         if self.upload is not None:
-            self.account.hold(self.upload.held)
-            is_full = self.upload.held >= self.budget.held
+            self.account.set_used(self.upload.pending_bytes)
+            is_full = self.upload.pending_bytes >= self.budget.upload_buffer_bytes
         else:   # it waits for the requests before it
-            is_full = self.in_body and self.body_size >= self.budget.held
+            is_full = self.in_body and self.body_size >= self.budget.upload_buffer_bytes
         if is_full and not self.is_read_paused and not self.is_disconnected:
             self.is_read_paused = True
             self.transport.pause_reading()
@@ -208,11 +208,11 @@
             if self.pace is not None:
                 self.pace.resume(now)
 
-    def hung_up(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed its side, even if the end of the stream is still unread."""
         return self.is_disconnected or bool(closed_by_client([self]))
 
-    def taken_on(self) -> None:
+    def upload_written(self) -> None:
         """Resume reading if allowed: part of the streamed body was written to the backend."""
         if self.upload is not None or self.is_read_paused:
             self._apply_back_pressure(time.monotonic())
@@ -253,14 +253,14 @@
         if length is not None and (not length.isdigit() or len(length) > 18):
             return self._reject(BadRequest("its length is none"))
         self.content_length = None if length is None else int(length)
-        if self.content_length is not None and self.content_length > MOST:
+        if self.content_length is not None and self.content_length > MAX_BODY_BYTES:
             self._reject(BadRequest("its body is too large", 413))
 
     def on_body(self, body: bytes) -> None:
         if self.ignores_input:
             return
         self.body_size += len(body)
-        if self.body_size > MOST:
+        if self.body_size > MAX_BODY_BYTES:
             return self._reject(BadRequest("its body is too large", 413))
         if self.upload is not None:
             self.upload.add(body)
@@ -272,9 +272,9 @@
         if self.ignores_input:
             return
         if self.upload is not None:
-            self.upload.whole = True
+            self.upload.is_complete = True
             if self.open_request is not None:
-                self.server.host.came(self.open_request)
+                self.server.host.body_arrived(self.open_request)
             return self._finish_upload()
         keep_alive = self.parser.should_keep_alive()
         if self.url == b"/ready" and self.parser.get_method() == b"GET":
@@ -292,12 +292,12 @@
             return      # the usual case: no pipelining
         # Without the request that is served next: its body may be large, and must not get later requests refused.
         later = islice(self.pending, self.open_request is None, None)
-        pending_body_bytes = sum(len(request.body) for request, _ in later if isinstance(request, Asked))
+        pending_body_bytes = sum(len(request.body) for request, _ in later if isinstance(request, ParsedRequest))
         if len(self.pending) > MAX_PENDING_REQUESTS or pending_body_bytes > MAX_PENDING_BODY_BYTES:
             self.pending.pop()
             self._reject(BadRequest("too many requests at once"))
 
-    def _read_request(self, body: bytes, upload: Upload | None = None) -> Asked | LocalReply:
+    def _read_request(self, body: bytes, upload: Upload | None = None) -> ParsedRequest | LocalReply:
         try:
             return self.server.reader.read(self.parser.get_method(), self.url, self.headers, body,
                                            upload)
@@ -312,7 +312,7 @@
         if self.open_request is not None or self.pending:
             if self.queue is self.server.receiving_body:
                 self._enter_queue(None)
-        elif self.keep_alive and self.server.lifecycle.keeps:      # it was answered before the body was complete
+        elif self.keep_alive and self.server.lifecycle.keeps_connections:   # answered before the body was complete
             self._enter_idle()
         else:
             self._close_gracefully()
@@ -323,10 +323,10 @@
             if self.upload is not None and self.open_request is not None:
                 # The request stays incomplete: end it at the host, and send only this error.
                 self.upload = None
-                self.server.host.gone(self.open_request)
+                self.server.host.client_left(self.open_request)
                 self.open_request = None
                 if self.source is not None:
-                    return self.broken()
+                    return self.abort_response()
                 self.account.close()
             self.pending.append((error, False))
 
@@ -343,62 +343,62 @@
                 self._write_response(item.status, item.headers, item.body, self.keep_alive)
                 self.is_head_request = False
             elif isinstance(item, bytes):
-                ready = self.server.lifecycle.ready
+                ready = self.server.lifecycle.is_ready
                 self._write_response(200 if ready else 503, (), b"ready\n" if ready else b"not ready\n",
                                      self.keep_alive)
-            elif self.server.host.is_open(item.txn):
+            elif self.server.host.is_open(item.request_id):
                 # Prevents running a request twice: each request has a new id, so this is a duplicate.
                 self._write_response(409, (), b"this id is open\n", keep_alive=False)
-            elif self.server.lifecycle.too_late(item.coming + item.time_left, time.monotonic()):
-                self.refused(RETRY_ELSEWHERE_AFTER_S)
+            elif self.server.lifecycle.may_outlast_process(item.upload_expected_s + item.time_left, time.monotonic()):
+                self.send_refusal(RETRY_ELSEWHERE_AFTER_S)
             else:
                 self._enter_queue(None)
-                self.is_head_request = item.bare
+                self.is_head_request = item.is_head_request
                 self.open_request = -1      # `admit` may answer the request before it returns the id
                 request_id = self.server.host.admit(self, item)
                 self.open_request = request_id if self.open_request == -1 else self.open_request
                 if self.upload is not None and self.open_request is not None:
                     self._enter_queue(self.server.receiving_body)     # the body's rate is checked
 
-    def served(self, answer: Answer) -> None:
+    def send_response(self, answer: Response) -> None:
         self._respond(answer.status, [f for f in answer.headers if f[0] not in HOP_BY_HOP], answer.body)
 
-    def refused(self, retry_after: float, status: int = 503) -> None:
+    def send_refusal(self, retry_after: float, status: int = 503) -> None:
         retry_header = [(b"retry-after", b"%.3f" % retry_after)] if retry_after > 0.0 else []
         self._respond(status, retry_header, b"refused: trying again is harmless\n")
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         self._respond(502, [], b"failed\n")
 
-    def begin(self, answer: Answer, source: Source) -> None:
+    def start_response(self, answer: Response, source: Source) -> None:
         """Write the head of a response whose body is streamed from `source`."""
         keep_alive, headers = self._stays_open(self.keep_alive), [f for f in answer.headers if f[0] not in HOP_BY_HOP]
-        self.is_chunked = answer.length is None and self.parser.get_http_version() != "1.0"
-        if answer.length is not None:
-            headers.append((b"content-length", b"%d" % answer.length))
+        self.is_chunked = answer.content_length is None and self.parser.get_http_version() != "1.0"
+        if answer.content_length is not None:
+            headers.append((b"content-length", b"%d" % answer.content_length))
         elif self.is_chunked:
             headers.append((b"transfer-encoding", b"chunked"))
         else:
             keep_alive = False    # the close of the connection marks its end
         self.keep_alive, self.source, self.is_self_delimited = (
-            keep_alive, source, answer.length is not None or self.is_chunked)
-        self.account.flow()
+            keep_alive, source, answer.content_length is not None or self.is_chunked)
+        self.account.start_stream()
         self.streamed_bytes = self.flushed_bytes = 0
         self.flushed_at = time.monotonic()
         self.server.streaming[self] = None
         self.transport.write(self._response_head(answer.status, headers, keep_alive))
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         if self.is_disconnected or self.is_head_request or not data:
             return
-        if (mark := self.budget.mark) != self.high_water_mark:
+        if (mark := self.budget.high_water_bytes) != self.high_water_mark:
             self.high_water_mark = mark
             self.transport.set_write_buffer_limits(high=mark)
         self.streamed_bytes += len(data)
         self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.is_chunked else data)
-        self.account.hold(self.transport.get_write_buffer_size())
+        self.account.set_used(self.transport.get_write_buffer_size())
 
-    def done(self) -> None:
+    def end_response(self) -> None:
         """Finish a streamed response that is complete."""
         self._end_streaming()
         if self.is_disconnected:
@@ -407,7 +407,7 @@
             self.transport.write(b"0\r\n\r\n")
         self._after_response(self.keep_alive)
 
-    def broken(self) -> None:
+    def abort_response(self) -> None:
         """Abort a streamed response that stays incomplete, so that the client can tell."""
         self._end_streaming()
         if self.is_disconnected:
@@ -428,18 +428,18 @@
             self.transport.set_write_buffer_limits(high=MAX_UNREAD_RESPONSE_BYTES)
 
     def is_client_reading(self, now: float) -> bool:
-        """Whether the client accepted data within the last `STOPPED` seconds, or has nothing left to read."""
+        """Whether the client accepted data within `BODY_STALL_TIMEOUT_S`, or has nothing left to read."""
         unsent_bytes = self.transport.get_write_buffer_size()
         if not unsent_bytes or self.streamed_bytes - unsent_bytes > self.flushed_bytes:
             self.flushed_bytes, self.flushed_at = self.streamed_bytes - unsent_bytes, now
-        return now - self.flushed_at < STOPPED
+        return now - self.flushed_at < BODY_STALL_TIMEOUT_S
 
     def _respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         self.open_request = None
         if self.upload is not None:
-            self.upload.drop()
+            self.upload.discard()
             self._apply_back_pressure(time.monotonic())
-        if self.account.bytes or self.account.flowing:
+        if self.account.used_bytes or self.account.is_streaming:
             self.account.close()
         if not self.is_disconnected:
             self._write_response(status, headers, body, self.keep_alive)
@@ -455,7 +455,8 @@
 
     def _stays_open(self, keep_alive: bool) -> bool:
         """Whether to keep the connection open: during a drain, only while requests are pending or arriving."""
-        return keep_alive and (self.server.lifecycle.keeps or bool(self.pending) or self.in_head or self.in_body)
+        return keep_alive and (
+            self.server.lifecycle.keeps_connections or bool(self.pending) or self.in_head or self.in_body)
 
     def _response_head(self, status: int, headers: Iterable[tuple[bytes, bytes]], keep_alive: bool) -> bytes:
         lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES.get(status, b"Status"))]
@@ -508,7 +509,7 @@
         self.server.connections.discard(self)
         self._enter_queue(None)
         if self.open_request is not None and self.open_request > 0:
-            self.server.host.gone(self.open_request)
+            self.server.host.client_left(self.open_request)
         self.open_request = self.source = self.upload = None
         self.account.close()
         self.server.streaming.pop(self, None)
@@ -550,8 +551,8 @@
 class Server:
     """The listening socket and its client connections."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, host: Host, descriptor_plan: Plan, lifecycle: LifeCycle,
-                 reader: RequestReader | None = None) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, host: ControllerHost, descriptor_plan: Plan,
+                 lifecycle: LifeCycle, reader: RequestReader | None = None) -> None:
         self.loop, self.host, self.descriptor_plan, self.lifecycle = loop, host, descriptor_plan, lifecycle
         self.reader = reader or RequestReader(host.settings)
         self.connections: set[ClientConnection] = set()
@@ -574,22 +575,23 @@
             lambda: ClientConnection(self), backlog=ACCEPT_BACKLOG, **options)
 
     def evict_excess(self) -> None:
-        """Close connections over the descriptor limit: only ones without an open request, by `who_leaves`."""
+        """Close connections over the descriptor limit: only ones without an open request, by `choose_eviction`."""
         excess = len(self.connections) - self.descriptor_plan.clients
-        queues = {Leaves.LEAVING: self.closing, Leaves.SILENT: self.awaiting_request,
-                  Leaves.ONCE: self.idle_after_one, Leaves.IDLE: self.idle, Leaves.BEGUN: self.receiving_head}
+        queues = {Evictable.CLOSING: self.closing, Evictable.SILENT: self.awaiting_request,
+                  Evictable.USED_ONCE: self.idle_after_one, Evictable.REUSED: self.idle,
+                  Evictable.PARTIAL_HEAD: self.receiving_head}
         for _ in range(excess):
             oldest = {kind: next(iter(queue)).state_entered_at for kind, queue in queues.items() if queue}
-            if (kind := who_leaves(oldest, time.monotonic())) is None:
+            if (kind := choose_eviction(oldest, time.monotonic())) is None:
                 return
             connection = next(iter(queues[kind]))
-            if kind in (Leaves.ONCE, Leaves.IDLE) and with_unread_input([connection]):
+            if kind in (Evictable.USED_ONCE, Evictable.REUSED) and with_unread_input([connection]):
                 connection._enter_queue(queues[kind])   # a request has arrived: it is read in this turn of the loop
                 continue
             # Removed at once, so that it is counted once: the loop reports the close only later.
             connection._enter_queue(None)
             self.connections.discard(connection)
-            if kind in (Leaves.ONCE, Leaves.IDLE):
+            if kind in (Evictable.USED_ONCE, Evictable.REUSED):
                 connection.transport.close()
             else:
                 connection.transport.abort()
@@ -603,7 +605,7 @@
                 connection.handle_timeout()
         for connection in [c for c in self.receiving_head if c.state_entered_at < now - self.head_timeout_s]:
             connection.handle_timeout()
-        for connection in [c for c in self.receiving_body if c.pace is not None and c.pace.late(now)]:
+        for connection in [c for c in self.receiving_body if c.pace is not None and c.pace.is_too_slow(now)]:
             connection.handle_timeout()
         for connection in [c for c in self.streaming if not c.is_client_reading(now)]:
             connection.transport.abort()
@@ -624,9 +626,9 @@
         """Close the connections without an open request, except ones with unread input.
 
         A request may cross the close: input that the kernel holds is read in this turn of the loop.  A new
-        connection has `YOUNG` seconds to send its request.
+        connection has `MIN_SILENT_S` to send its request.
         """
-        opened_before = time.monotonic() - YOUNG
+        opened_before = time.monotonic() - MIN_SILENT_S
         connections = [*self.idle_after_one, *self.idle,
                        *(c for c in self.awaiting_request if c.state_entered_at < opened_before)]
         having_input = with_unread_input(connections)
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from test_body_buffering import unchunk
 
-from fennelpoint.body_buffering import MOST_HELD, READ, WHOLE, Budget
+from fennelpoint.body_buffering import MAX_BUFFERED_BYTES, MAX_UPLOAD_BUFFER_BYTES, READ_BYTES, Budget
 from fennelpoint.interface import BackendState, Status
 from fennelpoint.lifecycle import Event, LifeCycle
 from fennelpoint.net.backends import Backends, Exchange, Upstream, UpstreamConnection
@@ -17,7 +17,7 @@
 from fennelpoint.settings import from_json
 from fennelpoint.testing import SETTINGS, request
 
-LARGE_BODY = bytes(range(256)) * ((MOST_HELD + 40_000) // 256)
+LARGE_BODY = bytes(range(256)) * ((MAX_UPLOAD_BUFFER_BYTES + 40_000) // 256)
 
 
 class Transport:
@@ -62,30 +62,30 @@
     def __init__(self) -> None:
         self.budget, self.settings, self.received, self.open = Budget(1 << 26), from_json(SETTINGS), [], None
 
-    def is_open(self, txn: bytes) -> bool:
+    def is_open(self, request_id: bytes) -> bool:
         return False
 
     def admit(self, client, admitted) -> int:
         if admitted.upload is None:
             self.received.append((admitted.head, admitted.body))
-            client.refused(0.0)
+            client.send_refusal(0.0)
             return 1
         self.open = [client, admitted, b""]
-        self.came(1)
+        self.body_arrived(1)
         return 1
 
-    def came(self, request: int) -> None:
+    def body_arrived(self, request: int) -> None:
         client, admitted, _ = self.open
-        while admitted.upload.waits:
-            self.open[2] += admitted.upload.take()
-            client.taken_on()
-        if admitted.upload.ended:
-            body = self.open[2] if admitted.upload.length is not None else unchunk(self.open[2])[0]
+        while admitted.upload.has_pending:
+            self.open[2] += admitted.upload.take_pending()
+            client.upload_written()
+        if admitted.upload.is_sent:
+            body = self.open[2] if admitted.upload.content_length is not None else unchunk(self.open[2])[0]
             self.received.append((admitted.head, body))
             self.open = None
-            client.refused(0.0)
+            client.send_refusal(0.0)
 
-    def gone(self, request: int) -> None:
+    def client_left(self, request: int) -> None:
         self.open = None
 
 
@@ -112,7 +112,7 @@
 
 def split_at(data: bytes, at: list[int]) -> list[bytes]:
     """Split at the drawn positions, in pieces no larger than one read."""
-    ends = sorted({min(len(data), a) for a in at} | {*range(READ, len(data), READ), len(data)})
+    ends = sorted({min(len(data), a) for a in at} | {*range(READ_BYTES, len(data), READ_BYTES), len(data)})
     return [data[a:b] for a, b in zip([0, *ends], ends, strict=False) if a < b]
 
 
@@ -157,14 +157,14 @@
     def __init__(self) -> None:
         self.received = b""
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         self.received += data
 
 
 def parse_response(pieces: list[bytes], end: bool) -> tuple[Status | None, int, bytes]:
     """Return outcome, status and body of a backend's response, whether it was streamed or not."""
     pool = SimpleNamespace(all=set(), budget=Budget(1 << 26), judge=partial(Backends.judge, None),
-                           keeps_for=partial(Backends.keeps_for, None), names=partial(Backends.names, None))
+                           keep_alive_s=partial(Backends.keep_alive_s, None), has_id=partial(Backends.has_id, None))
     upstream = Upstream("127.0.0.1", 1, 0.0, BackendState.READY)
     sink, out = ResponseSink(), []
 
@@ -204,7 +204,8 @@
                            + b"Content-Length: 5\r\n\r\nhello", b"hello", Status.OK),
     "none": (b"HTTP/1.1 204 No Content\r\n\r\n", b"", Status.ERROR),
     "turned away": (b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1 \r\nContent-Length: 0\r\n\r\n", b"", Status.FULL),
-    "the connection's end": (OK + b"\r\n" + LARGE_BODY[:WHOLE + 99], LARGE_BODY[:WHOLE + 99], Status.OK),
+    "the connection's end": (OK + b"\r\n" + LARGE_BODY[:MAX_BUFFERED_BYTES + 99],
+                             LARGE_BODY[:MAX_BUFFERED_BYTES + 99], Status.OK),
     "too little": (OK + b"Content-Length: 50\r\n\r\nhello", b"", Status.RESET),
     "a bad chunk": (OK + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\n", b"", Status.ERROR),
 }
