--- a/fennelpoint/testing/soak/runner.py
+++ b/fennelpoint/testing/soak/runner.py
@@ -21,7 +21,7 @@
 from fennelpoint.testing.soak.records import LAG_TOLERANCE_S, Interval, Records
 from fennelpoint.testing.soak.traffic import SLOWDOWN_FACTOR, Addresses, SoakBackend, SoakClient, TrafficFaults
 from fennelpoint.testing.soak.versions import VersionClient, VersionHistory, route_prefixes
-from fennelpoint.testing.system_demo import GRACE, KEY, Site, call, until
+from fennelpoint.testing.system_demo import GRACE_S, KEY, Site, call, wait_until
 
 ZONES = {"za": "ra", "zb": "rb", "zc": "rc"}
 CORES = ("core-za", "core-zb", "core-zc")
@@ -110,14 +110,14 @@
             {host: frozenset(homes) for host, homes in HOME_REGIONS.items() if homes}
         )  # fmt: skip
         self.traffic_faults = TrafficFaults()
-        self.cores = [self.site.at(core, "control_plane") for core in CORES]
+        self.cores = [self.site.address(core, "control_plane") for core in CORES]
         self.backends = [
             SoakBackend(f"i-{n}", zone, self.cores, self.records, self.traffic_faults)
             for n, zone in enumerate((*ZONES, *ZONES), 1)
         ]
         self.addresses = Addresses(
-            {core: self.site.at(core, "directory_service") for core in CORES},
-            {proxy: self.site.at(proxy, "public_http") for proxy in PROXIES},
+            {core: self.site.address(core, "directory_service") for core in CORES},
+            {proxy: self.site.address(proxy, "public_http") for proxy in PROXIES},
         )
         self.blocked: dict[str, set[str]] = {machine: set() for machine in (*CORES, *PROXIES)}
         self.version = 0
@@ -146,12 +146,12 @@
         for machine in (*CORES, *PROXIES):
             await self._boot(machine, first=True)
         await asyncio.gather(*(backend.start() for backend in self.backends))
-        await until(self._change, START_TIMEOUT_S, "the first configuration")
-        await until(self._all_ready, START_TIMEOUT_S, "all proxies")
+        await wait_until(self._change, START_TIMEOUT_S, "the first configuration")
+        await wait_until(self._all_ready, START_TIMEOUT_S, "all proxies")
         self._start_tasks(self._watch_lag(), self._change_regularly(), *map(self._probe, PROXIES))
         for proxy in PROXIES:
             version_client = VersionClient(
-                proxy, self.site.at(proxy, "public_http"), self.versions, lambda: self.version
+                proxy, self.site.address(proxy, "public_http"), self.versions, lambda: self.version
             )
             self._start_tasks(version_client.run(REQUEST_INTERVAL_S))
         for zone, region in ZONES.items():
@@ -184,7 +184,7 @@
             await self._change()
 
     async def _is_ready(self, proxy: str) -> bool:
-        return await call(self.site.at(proxy, "readiness"), "GET", "/api/readiness") == 200
+        return await call(self.site.address(proxy, "readiness"), "GET", "/api/readiness") == 200
 
     async def _all_ready(self) -> bool:
         return all(await asyncio.gather(*(self._is_ready(proxy) for proxy in PROXIES)))
@@ -244,7 +244,7 @@
                 await self._change_repeatedly(duration_s)
 
     def _address(self, machine: str) -> str:
-        return (self.site.cores | self.site.fronts)[machine]
+        return (self.site.cores | self.site.proxies)[machine]
 
     @contextlib.contextmanager
     def _record_fault(self, *machines: str):
@@ -261,9 +261,9 @@
         process.send_signal(signal.SIGTERM)
         sent_at = time.monotonic()
         try:
-            await asyncio.wait_for(process.wait(), 2 * GRACE)
+            await asyncio.wait_for(process.wait(), 2 * GRACE_S)
         except TimeoutError:
-            self.records.log_errors.append(f"{proxy} had not ended {2 * GRACE:g} s after SIGTERM")
+            self.records.log_errors.append(f"{proxy} had not ended {2 * GRACE_S:g} s after SIGTERM")
             process.kill()
             await process.wait()
         self.longest_shutdown_s = max(self.longest_shutdown_s, time.monotonic() - sent_at)
@@ -349,7 +349,9 @@
 
     async def _wait_for_recovery(self) -> None:
         """Wait until all proxies are ready and successive requests succeed; raises RuntimeError after a timeout."""
-        await until(self._all_ready, RECOVERY_TIMEOUT_S, f"seed {self.seed}: all proxies ready after the last fault")
+        await wait_until(
+            self._all_ready, RECOVERY_TIMEOUT_S, f"seed {self.seed}: all proxies ready after the last fault"
+        )
         clients = [
             SoakClient(zone, region, host, self.addresses, self.records, TrafficFaults(cancel_share=0.0))
             for zone, region in ZONES.items()
@@ -362,7 +364,9 @@
                     return False
             return True
 
-        await until(served, RECOVERY_TIMEOUT_S, f"seed {self.seed}: {RECOVERY_REQUESTS} requests served in a row")
+        await wait_until(
+            served, RECOVERY_TIMEOUT_S, f"seed {self.seed}: {RECOVERY_REQUESTS} requests served in a row"
+        )
         await asyncio.sleep(PAUSE_S / 2)  # so that executions that are judged can end
 
     async def _stop(self) -> None:
