--- a/fennelpoint/system/mesh.py
+++ b/fennelpoint/system/mesh.py
@@ -1,7 +1,8 @@
-"""Held connections between our processes, by name: `roll@10.1.0.11`.
+"""Persistent connections between the processes of the system; a peer is named by role and address: `roll@10.1.0.11`.
 
-`Mesh.send` goes over our own connection to a peer, or over the one by which it came to us; a message that has no
-way is dropped, as every sender repeats what matters.  A peer that says nothing for a while is left and dialled anew.
+`Mesh.send` uses the connection that this process dialled, or else one that the peer dialled.  A message to a peer
+without a connection is dropped, since every sender repeats what matters.  The mesh aborts a connection on which
+nothing arrives for `SILENCE_TIMEOUT_S` and dials the peer again.
 """
 
 from __future__ import annotations
@@ -18,75 +19,85 @@
 from fennelpoint.system.frames import BadFrame, Unpacker, pack
 
 ROLES = ("writ", "roll", "span")     # in the order of their internal ports
-CONNECT, PING, SILENT = 0.6, 0.7, 1.6   # s
-AGAIN, AGAIN_MOST = 0.1, 0.8        # s between tries of a connect
-MOST_BEHIND = 24 * 1024 * 1024      # bytes that a peer leaves unread before it is left
+CONNECT_TIMEOUT_S, PING_INTERVAL_S, SILENCE_TIMEOUT_S = 0.6, 0.7, 1.6
+MIN_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.1, 0.8     # between attempts to connect
+MAX_WRITE_BUFFER_BYTES = 24 * 1024 * 1024   # the connection to a peer that leaves more unread is aborted
 
 
-def name(role: str, ip: str) -> str:
+def peer_name(role: str, ip: str) -> str:
+    """Returns the name of the process with this role on this machine."""
     return f"{role}@{ip}"
 
 
 def ip_of(peer: str) -> str:
+    """Returns the IP address of a peer by its name."""
     return peer.partition("@")[2]
 
 
-class Wire(asyncio.Protocol):
-    """One connection; the first message says who speaks."""
+class PeerConnection(asyncio.Protocol):
+    """One connection; the side that dialled names itself in its first message, `hello`."""
 
     def __init__(self, mesh: Mesh, peer: str | None = None) -> None:
         self.mesh, self.peer, self.dialled = mesh, peer, peer is not None
-        self.unpacker, self.transport, self.heard = Unpacker(), None, time.monotonic()
+        self.unpacker, self.transport, self.last_received_at = Unpacker(), None, time.monotonic()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        held = transport.get_extra_info("socket")
-        held.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(SILENT * 1000))
-        self.mesh.wires.add(self)
+        sock = transport.get_extra_info("socket")
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(SILENCE_TIMEOUT_S * 1000))
+        self.mesh.connections.add(self)
         if self.dialled:
-            self.write(["hello", self.mesh.me])
-            self.mesh.up(self)
+            self.write(["hello", self.mesh.own_name])
+            self.mesh.connection_up(self)
 
     def data_received(self, data: bytes) -> None:
-        self.heard = time.monotonic()
+        self.last_received_at = time.monotonic()
         try:
             for message in self.unpacker.feed(data):
-                self.take(message)
+                self.handle_message(message)
         except (BadFrame, IndexError) as error:
-            say(Event.CRASHED, where=f"message of {self.peer}", reason=error)
+            say(Event.CRASHED, where=f"message from {self.peer}", reason=error)
             self.transport.abort()
 
-    def take(self, message: list) -> None:
-        """One message of the peer's."""
+    def handle_message(self, message: list) -> None:
+        """Handles one message of the peer; those before its `hello` are dropped."""
         if message[0] == "hello" and not self.dialled:
             self.peer = str(message[1])
-            self.mesh.up(self)
+            self.mesh.connection_up(self)
         elif message[0] != "ping" and self.peer is not None:
-            self.mesh.take(self.peer, message)
+            self.mesh.handle_message(self.peer, message)
 
     def write(self, message: list) -> None:
-        if self.transport.get_write_buffer_size() > MOST_BEHIND:
+        """Sends a message, or aborts the connection where the peer leaves too much unread."""
+        if self.transport.get_write_buffer_size() > MAX_WRITE_BUFFER_BYTES:
             return self.transport.abort()
         self.transport.write(pack(message))
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.mesh.wires.discard(self)
-        self.mesh.down(self)
+        self.mesh.connections.discard(self)
+        self.mesh.connection_down(self)
 
 
 class Mesh:
-    """All held connections of one process."""
+    """All persistent connections of one process.
+
+    `on_message` gets the name of the peer and each of its messages, `on_peer_change` the name of a peer and whether
+    it is connected.  `on_refused` gets the name of a peer at whose address nothing listens, and when this process
+    dialled it.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, role: str, ip: str, ports: tuple[int, int],
-                 take: Callable[[str, list], None],
-                 changed: Callable[[str, bool], None] = lambda peer, up: None, most: float = AGAIN_MOST,
-                 refused: Callable[[str, float], None] = lambda peer, dialled_at: None) -> None:
-        self.loop, self.me, self.ip, self.ports = loop, name(role, ip), ip, ports
-        self.role, self._take, self.changed, self.most = role, take, changed, most
-        self.refused = refused  # a peer's machine says that nothing listens there; dialled at that time
-        self.wires: set[Wire] = set()
-        self.ways: dict[str, list[Wire]] = {}   # by peer, our own first
-        self.dialling: dict[str, asyncio.Task] = {}
+                 on_message: Callable[[str, list], None],
+                 on_peer_change: Callable[[str, bool], None] = lambda peer, is_up: None,
+                 max_reconnect_delay_s: float = MAX_RECONNECT_DELAY_S,
+                 on_refused: Callable[[str, float], None] = lambda peer, dialled_at: None) -> None:
+        self.loop, self.own_name, self.ip, self.ports = loop, peer_name(role, ip), ip, ports
+        self.role, self.on_message, self.on_peer_change, self.max_reconnect_delay_s = (
+            role, on_message, on_peer_change, max_reconnect_delay_s)
+        self.on_refused = on_refused
+        self.connections: set[PeerConnection] = set()
+        self.connections_by_peer: dict[str, list[PeerConnection]] = {}     # those that this process dialled first
+        self.dial_tasks: dict[str, asyncio.Task] = {}  # by peer
         self.listener: asyncio.Server | None = None
 
     def port(self, role: str) -> int:
@@ -94,89 +105,92 @@
 
     async def start(self) -> None:
         self.listener = await self.loop.create_server(
-            lambda: Wire(self), self.ip, self.port(self.role), backlog=256, reuse_address=True)
-        self.loop.call_later(PING, self._ping)
+            lambda: PeerConnection(self), self.ip, self.port(self.role), backlog=256, reuse_address=True)
+        self.loop.call_later(PING_INTERVAL_S, self._ping)
 
     def dial(self, peers: set[str]) -> None:
-        """Hold connections to these from now on, and to no others."""
-        for peer in list(self.dialling):
+        """Keeps connections to these peers from now on, and drops those that were dialled to others."""
+        for peer in list(self.dial_tasks):
             if peer not in peers:
-                self.dialling.pop(peer).cancel()
-                for wire in list(self.ways.get(peer, ())):
-                    if wire.dialled:
-                        wire.transport.abort()
+                self.dial_tasks.pop(peer).cancel()
+                for connection in list(self.connections_by_peer.get(peer, ())):
+                    if connection.dialled:
+                        connection.transport.abort()
         for peer in peers:
-            if peer not in self.dialling and peer != self.me:
-                self.dialling[peer] = self.loop.create_task(self._keep(peer))
+            if peer not in self.dial_tasks and peer != self.own_name:
+                self.dial_tasks[peer] = self.loop.create_task(self._maintain(peer))
 
-    async def _keep(self, peer: str) -> None:
+    async def _maintain(self, peer: str) -> None:
+        """Dials a peer again whenever the connection to it is lost."""
         role, _, ip = peer.partition("@")
-        pause = AGAIN
+        delay = MIN_RECONNECT_DELAY_S
         while True:
-            if self.ways.get(peer) and peer < self.me:
-                # Theirs does for both.  Nobody waits to be dialled: a newcomer is not known to the others yet.
+            if self.connections_by_peer.get(peer) and peer < self.own_name:
+                # The connection that the peer dialled serves both sides.  No side waits to be dialled: its peers may
+                # not know a new process yet.
                 await asyncio.sleep(0.2)
                 continue
-            wire, dialled_at = Wire(self, peer), time.monotonic()
+            connection, dialled_at = PeerConnection(self, peer), time.monotonic()
             try:
-                async with asyncio.timeout(CONNECT):
-                    await connect(self.loop, lambda wire=wire: wire, ip, self.port(role))
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    await connect(self.loop, lambda connection=connection: connection, ip, self.port(role))
             except (OSError, TimeoutError) as error:
                 if isinstance(error, ConnectionRefusedError):
-                    self.refused(peer, dialled_at)
-                await asyncio.sleep(pause * random.uniform(0.7, 1.3))
-                pause = min(self.most, pause * 1.5)
+                    self.on_refused(peer, dialled_at)
+                await asyncio.sleep(delay * random.uniform(0.7, 1.3))
+                delay = min(self.max_reconnect_delay_s, delay * 1.5)
                 continue
-            pause = AGAIN
-            while wire in self.wires:
+            delay = MIN_RECONNECT_DELAY_S
+            while connection in self.connections:
                 await asyncio.sleep(0.1)
 
-    def up(self, wire: Wire) -> None:
-        ways = self.ways.setdefault(wire.peer, [])
-        ways.insert(0, wire) if wire.dialled or not any(w.dialled for w in ways) else ways.append(wire)
-        self.changed(wire.peer, True)
-
-    def down(self, wire: Wire) -> None:
-        ways = self.ways.get(wire.peer, [])
-        if wire in ways:
-            ways.remove(wire)
-            if not ways:
-                del self.ways[wire.peer]
-                self.changed(wire.peer, False)
-
-    def take(self, peer: str, message: list) -> None:
+    def connection_up(self, connection: PeerConnection) -> None:
+        connections = self.connections_by_peer.setdefault(connection.peer, [])
+        (connections.insert(0, connection) if connection.dialled or not any(other.dialled for other in connections)
+         else connections.append(connection))
+        self.on_peer_change(connection.peer, True)
+
+    def connection_down(self, connection: PeerConnection) -> None:
+        connections = self.connections_by_peer.get(connection.peer, [])
+        if connection in connections:
+            connections.remove(connection)
+            if not connections:
+                del self.connections_by_peer[connection.peer]
+                self.on_peer_change(connection.peer, False)
+
+    def handle_message(self, peer: str, message: list) -> None:
         try:
-            self._take(peer, message)
-        except Exception:   # a defect costs the message, not the process
-            say(Event.CRASHED, where=f"{message[0]} of {peer}", reason=traceback.format_exc(limit=-4))
+            self.on_message(peer, message)
+        except Exception:   # a defect loses this message, but does not end the process
+            say(Event.CRASHED, where=f"{message[0]} from {peer}", reason=traceback.format_exc(limit=-4))
 
     def send(self, peer: str, message: list) -> bool:
-        """Whether it went out."""
-        if peer == self.me:
-            self.loop.call_soon(self.take, peer, message)
+        """Sends a message; returns whether there was a connection to write it to."""
+        if peer == self.own_name:
+            self.loop.call_soon(self.handle_message, peer, message)
             return True
-        ways = self.ways.get(peer)
-        if not ways:
+        connections = self.connections_by_peer.get(peer)
+        if not connections:
             return False
-        ways[0].write(message)
+        connections[0].write(message)
         return True
 
     def _ping(self) -> None:
-        self.loop.call_later(PING, self._ping)
+        self.loop.call_later(PING_INTERVAL_S, self._ping)
         now = time.monotonic()
-        for wire in list(self.wires):
-            if wire.heard < now - SILENT:
-                wire.transport.abort()
+        for connection in list(self.connections):
+            if connection.last_received_at < now - SILENCE_TIMEOUT_S:
+                connection.transport.abort()
             else:
-                wire.transport.write(_PING)
+                connection.transport.write(_PING_FRAME)
 
     def close(self) -> None:
-        for task in self.dialling.values():
+        for task in self.dial_tasks.values():
             task.cancel()
         if self.listener is not None:
             self.listener.close()
-        for wire in list(self.wires):
-            wire.transport.abort()
+        for connection in list(self.connections):
+            connection.transport.abort()
 
 
-_PING = pack(["ping"])
+_PING_FRAME = pack(["ping"])
--- a/fennelpoint/system/proxy/core_session.py
+++ b/fennelpoint/system/proxy/core_session.py
@@ -12,7 +12,7 @@
 
 from fennelpoint.system.actions import Send
 from fennelpoint.system.incarnation import first_number
-from fennelpoint.system.mesh import ip_of, name
+from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.proxy.config_fetch import ContentRequests
 from fennelpoint.system.proxy.core_choice import CoreChoice
 from fennelpoint.system.proxy.session_actions import (
@@ -121,11 +121,11 @@
             targets = self.choice.connection_targets(self._zones)
         else:
             targets = self.by_distance()[:1 + int((now - self.started_at) / NEXT_SEED_AFTER_S)]
-        return {name("roll", ip) for ip in targets} | self.relay_candidates()
+        return {peer_name("roll", ip) for ip in targets} | self.relay_candidates()
 
     def _connected_core(self, now: float) -> list[str]:
         """Names of connected core machines, the silent ones last."""
-        return [p for p in (name("roll", ip) for ip in self.choice.by_responsiveness(self._zones, now))
+        return [p for p in (peer_name("roll", ip) for ip in self.choice.by_responsiveness(self._zones, now))
                 if p in self.connected]
 
     def relay_candidates(self) -> set[str]:
@@ -135,7 +135,7 @@
         # Each proxy has its own order: else proxies that are cut off together would ask the same few, or each other.
         ring = sorted((ip for ip in self.other_proxies if ip != self.own_ip),
                       key=lambda ip: preference(self.own_ip, ip))
-        return {name("span", ring[(self.relay_offset + i) % len(ring)]) for i in range(min(RELAYS, len(ring)))}
+        return {peer_name("span", ring[(self.relay_offset + i) % len(ring)]) for i in range(min(RELAYS, len(ring)))}
 
     def grant_to_report(self, now: float) -> list | None:
         """The grant of an earlier allocator, for the new one: its figures, the fencing term and the seconds left."""
@@ -202,7 +202,7 @@
     def _on_passed(self, peer: str, now: float, ip: str, message: list) -> None:
         """A relayed message of a core machine: to this proxy through `peer`, or to another one through this."""
         if ip != self.own_ip:
-            return self._send(name("span", ip), ["passed", ip, message])
+            return self._send(peer_name("span", ip), ["passed", ip, message])
         if peer == self.relay:
             self.actions += self.handle_message(peer, message, now) if message[0] != "passed" else []
 
--- a/fennelpoint/system/registry/allocation_leader.py
+++ b/fennelpoint/system/registry/allocation_leader.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from fennelpoint.system.actions import Note
-from fennelpoint.system.mesh import ip_of, name
+from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.registry.allocation_parameters import AllocationParameters, ColdBackends
 from fennelpoint.system.registry.allocator import READ_VALIDITY_S, Allocator
 from fennelpoint.system.registry.backend_table import BackendTable
@@ -230,9 +230,9 @@
     def forward_request(self, now: float, request: list) -> None:
         """Pass the request for shares of a proxy connected here to the allocator."""
         if self.allocator is not None:
-            self.on_want(name("roll", self.registry.node_ip), now, *request)
+            self.on_want(peer_name("roll", self.registry.node_ip), now, *request)
         elif self.lease.holder is not None:
-            self.registry.send(name("roll", self.lease.holder[1]), ["want", *request])
+            self.registry.send(peer_name("roll", self.lease.holder[1]), ["want", *request])
 
     def on_want(
         self,
@@ -273,9 +273,9 @@
     def on_draw(self, peer: str, now: float, number: int, needs: dict) -> None:
         """Handle the request of a proxy connected here for units of tenants of whose quota it holds no shares."""
         if self.allocator is not None:
-            self.on_drawn(name("roll", self.registry.node_ip), now, ip_of(peer), number, needs)
+            self.on_drawn(peer_name("roll", self.registry.node_ip), now, ip_of(peer), number, needs)
         elif self.lease.holder is not None:
-            self.registry.send(name("roll", self.lease.holder[1]), ["drawn", ip_of(peer), number, needs])
+            self.registry.send(peer_name("roll", self.lease.holder[1]), ["drawn", ip_of(peer), number, needs])
 
     def on_drawn(self, peer: str, now: float, ip: str, number: int, needs: dict) -> None:
         """Handle a proxy's request for units, which the registry `peer` passes on."""
@@ -310,7 +310,7 @@
 
     def _forward_to_proxy(self, answer: list) -> None:
         kind, ip, *rest = answer
-        self.registry.send(name("span", ip), [kind, *rest])
+        self.registry.send(peer_name("span", ip), [kind, *rest])
 
     # Output
 
--- a/fennelpoint/system/registry/program.py
+++ b/fennelpoint/system/registry/program.py
@@ -10,7 +10,7 @@
 from fennelpoint.system.actions import Violation
 from fennelpoint.system.events import Event, say
 from fennelpoint.system.http_server import Asking, Reply, Web
-from fennelpoint.system.mesh import Mesh, name
+from fennelpoint.system.mesh import Mesh, peer_name
 from fennelpoint.system.registry.state_machine import Answer, Note, RegistryStateMachine, Save, Send
 from fennelpoint.system.registry.storage import BackendStorage
 from fennelpoint.system.settings import Settings
@@ -31,7 +31,7 @@
         self.storage = BackendStorage(settings.data_directory)
         self.registry.restore(self.storage.rows, time.monotonic())
         self.mesh = Mesh(loop, "roll", settings.ip_address, settings.internal_ports, self.on_message, self.on_link,
-                         refused=self.on_connection_refused)
+                         on_refused=self.on_connection_refused)
         self.web = Web(loop, self.on_call)
         self.stopped = loop.create_future()
 
@@ -48,7 +48,7 @@
         self.execute(self.registry.tick(time.monotonic()))
         if self.registry.is_shutdown_complete(time.monotonic()) and not self.stopped.done():
             self.stopped.set_result(None)
-        self.mesh.dial({*self.registry.other_registries, name("writ", self.settings.ip_address)})
+        self.mesh.dial({*self.registry.other_registries, peer_name("writ", self.settings.ip_address)})
 
     def on_message(self, peer: str, message: list) -> None:
         self.execute(self.registry.on_message(peer, message, time.monotonic()))
--- a/fennelpoint/system/registry/state_machine.py
+++ b/fennelpoint/system/registry/state_machine.py
@@ -14,7 +14,7 @@
 from fennelpoint.system.graceful_shutdown import Leaving, within
 from fennelpoint.system.http_server import Asking, Reply
 from fennelpoint.system.incarnation import first_number
-from fennelpoint.system.mesh import ip_of, name
+from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.registry.allocation_leader import ALLOCATION_MESSAGES, AllocationLeader
 from fennelpoint.system.registry.allocation_parameters import AllocationParameters, ColdBackends
 from fennelpoint.system.registry.backend_table import (
@@ -67,7 +67,7 @@
             node_ip, zone, region, region_of_zone, port)
         self.bounds, self.heartbeat_s, self.incarnation, self.started_at = bounds, heartbeat_s, incarnation, now
         self.seeds = seeds
-        self.store_peer = name("writ", node_ip)
+        self.store_peer = peer_name("writ", node_ip)
         self.backends, self.members = BackendTable(), Membership()
         self.cluster_state: dict = {}           # the newest agreed value that is known here
         self.contents: dict[str, bytes] = {}    # compressed configurations by digest
@@ -286,7 +286,7 @@
     @property
     def other_registries(self) -> list[str]:
         """Peer names of the registries of all other core machines."""
-        return [name("roll", ip) for ip in sorted(self.core_zones) if ip != self.node_ip]
+        return [peer_name("roll", ip) for ip in sorted(self.core_zones) if ip != self.node_ip]
 
     def is_majority(self, holders: set[str]) -> bool:
         """Whether these IP addresses include a majority of the voters."""
@@ -412,7 +412,7 @@
         in_quorum = self.has_quorum(now)
         # Includes connected registries that are not members yet: until the change that adds one is agreed, only the
         # machines that are connected to it know of it.
-        for peer in sorted({*self.other_registries, *(name("roll", ip) for ip in self.linked_registries)}):
+        for peer in sorted({*self.other_registries, *(peer_name("roll", ip) for ip in self.linked_registries)}):
             self.send(peer, ["heard", heard_ids, full, digests,
                              self.quorum_check.gossip_header(ip_of(peer), in_quorum, now)])
 
@@ -506,7 +506,7 @@
 
     def _on_pass(self, peer: str, now: float, ip: str, message: list) -> None:
         """Handle a message from a proxy that can't reach this machine; the relay passes the answers back, too."""
-        proxy = name("span", ip)
+        proxy = peer_name("span", ip)
         self.relays[proxy] = peer
         handler = {"front": self._on_front, "ask": self._on_ask, "need": self._on_need,
                    "draw": self.allocation.on_draw}.get(message[0])
--- a/fennelpoint/system/store/program.py
+++ b/fennelpoint/system/store/program.py
@@ -11,7 +11,7 @@
 from fennelpoint.fleet.store import Store as Disk
 from fennelpoint.system.events import Event, say
 from fennelpoint.system.graceful_shutdown import within
-from fennelpoint.system.mesh import Mesh, ip_of, name
+from fennelpoint.system.mesh import Mesh, ip_of, peer_name
 from fennelpoint.system.settings import Settings
 from fennelpoint.system.store.replica import KEY, ROLL, Note, Save, SaveContent, Send, Store, Whole
 
@@ -45,10 +45,11 @@
         self.carry_out(self.store.tick(time.monotonic()))
         if self.store.gone(time.monotonic()) and not self.stopped.done():
             self.stopped.set_result(None)
-        self.mesh.dial({name("writ", ip) for ip in self.store.peers} | {name("roll", self.settings.ip_address)})
+        self.mesh.dial({peer_name("writ", ip) for ip in self.store.peers}
+                       | {peer_name("roll", self.settings.ip_address)})
 
     def take(self, peer: str, message: list) -> None:
-        own = peer == name("roll", self.settings.ip_address)
+        own = peer == peer_name("roll", self.settings.ip_address)
         if peer.startswith("writ@") or own:
             self.carry_out(self.store.heard(ROLL if own else ip_of(peer), message, time.monotonic()))
 
@@ -61,8 +62,8 @@
         for action in actions:
             match action:
                 case Send(to, message):
-                    self.mesh.send(name("roll", self.settings.ip_address) if to == ROLL else name("writ", to),
-                                   message)
+                    self.mesh.send(peer_name("roll", self.settings.ip_address) if to == ROLL
+                                   else peer_name("writ", to), message)
                 case Note(event, fields):
                     say(Event[event], **fields)
                 case Save() | SaveContent():
--- a/fennelpoint/testing/core_simulation.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -19,7 +19,7 @@
 from fennelpoint.system.actions import Send, Violation
 from fennelpoint.system.frames import Unpacker, pack
 from fennelpoint.system.http_server import Asking, Reply
-from fennelpoint.system.mesh import ip_of, name
+from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.session_actions import ApplyConfig, LeaseChanged, UnitsReceived
 from fennelpoint.system.registry import state_machine as roll
@@ -87,7 +87,7 @@
             return
         front = self.fronts[ip]
         front.up, front.version = True, 0
-        self._unlink(name("span", ip))
+        self._unlink(peer_name("span", ip))
         about = {"address": f"{ip}:80", "zone": front.zone, "region": front.region,
                  "life": self.random.getrandbits(40)}
         front.session = CoreSession(ip, front.zone, front.region, regions, self.seeds, about, self.now,
@@ -108,7 +108,7 @@
                 ip, core.zone, core.region, regions, self.seeds, 8200, self.bounds, BEAT,
                 self.random.getrandbits(40), first, self.now)
             core.registry.restore(list(core.rows.values()), self.now)
-        self._unlink(name(role, ip))
+        self._unlink(peer_name(role, ip))
 
     def _unlink(self, process: str) -> None:
         """It is a new life: its connections are new ones, too."""
@@ -187,8 +187,8 @@
                 case writ.Whole():
                     core.store.well()
                 case writ.Send(to, message):
-                    self.send(name("writ", core.ip), name("roll", core.ip) if to == writ.ROLL else name("writ", to),
-                              message)
+                    self.send(peer_name("writ", core.ip), peer_name("roll", core.ip) if to == writ.ROLL
+                              else peer_name("writ", to), message)
                 case writ.Save(keeper):
                     core.disk = keeper
                 case writ.SaveContent(digest, data, needed):
@@ -200,7 +200,7 @@
         for action in actions:
             match action:
                 case roll.Send(to, message):
-                    self.send(name("roll", core.ip), to, message)
+                    self.send(peer_name("roll", core.ip), to, message)
                 case roll.Save(rows, forgotten):
                     core.rows.update({row[0]: row for row in rows})
                     for id in forgotten:
@@ -232,7 +232,7 @@
         for action in actions:
             match action:
                 case Send(to, message):
-                    self.send(name("span", front.ip), to, message)
+                    self.send(peer_name("span", front.ip), to, message)
                 case ApplyConfig(version, _):
                     if version < front.version:
                         raise Broken(f"{self.now:.2f}: {front.ip} goes back from {front.version} to {version}")
@@ -308,18 +308,18 @@
     def _relink(self) -> None:
         """Connections that came up or were seen to break since."""
         wanted: dict[tuple[str, str], bool] = {}
-        rolls = [name("roll", ip) for ip in self.cores]
+        rolls = [peer_name("roll", ip) for ip in self.cores]
         for one in rolls:
             for other in rolls:
                 if one != other:
                     wanted[one, other] = True
-            wanted[one, name("writ", ip_of(one))] = True
-        writs = [name("writ", ip) for ip in self.cores]
+            wanted[one, peer_name("writ", ip_of(one))] = True
+        writs = [peer_name("writ", ip) for ip in self.cores]
         wanted |= {(one, other): True for one in writs for other in writs if one != other}
         for front in self.fronts.values():
             if front.up:
                 for peer in front.session.peers(self.now):
-                    wanted[name("span", front.ip), peer] = wanted[peer, name("span", front.ip)] = True
+                    wanted[peer_name("span", front.ip), peer] = wanted[peer, peer_name("span", front.ip)] = True
         for pair in {*wanted, *self.links}:
             one, other = pair
             if ip_of(one) in self.frozen:
--- a/fennelpoint/testing/operators.py
+++ b/fennelpoint/testing/operators.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from fennelpoint.system.http_server import Asking
-from fennelpoint.system.mesh import ip_of, name
+from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.settings import Bounds
 from fennelpoint.testing.core_machines import Broken, Core
 from fennelpoint.testing.core_simulation import SILENT, World
@@ -112,10 +112,10 @@
                 elif self.now - since >= (LINKED if joined or not up else SILENT):
                     self.between[a, b] = (joined, self.now)
                     if one.up and a == b:
-                        self._linked(name("roll", a), name("writ", a), joined)
+                        self._linked(peer_name("roll", a), peer_name("writ", a), joined)
                     elif one.up:
-                        self._linked(name("roll", a), name("roll", b), joined)
-                        self._linked(name("writ", a), name("writ", b), joined)
+                        self._linked(peer_name("roll", a), peer_name("roll", b), joined)
+                        self._linked(peer_name("writ", a), peer_name("writ", b), joined)
 
     def _deliver(self, source: str, to: str, message: list) -> None:
         if (waiting := self.asleep.get(ip_of(to))) is not None:
--- a/fennelpoint/testing/retry_simulation.py
+++ b/fennelpoint/testing/retry_simulation.py
@@ -14,7 +14,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.system.actions import Send
-from fennelpoint.system.mesh import name
+from fennelpoint.system.mesh import peer_name
 from fennelpoint.system.proxy.controller import ProxyController
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.events import BackendPlacement, Catalogue, RetryRule, SharesExtended, leased_shares
@@ -24,7 +24,7 @@
 from fennelpoint.testing.retry_rule import RetryCounter
 
 TICK = 0.05  # s between looks of a session at its clock
-CORE = name("roll", "core")
+CORE = peer_name("roll", "core")
 SERVICES = ("a", "b")
 BACKENDS = tuple(f"{service}{number}" for service in SERVICES for number in range(6))
 AIM, DEADLINE, ATTEMPTS = 2.0, 5.0, 2
--- a/fennelpoint/testing/soak/connection_cutter.py
+++ b/fennelpoint/testing/soak/connection_cutter.py
@@ -46,7 +46,7 @@
 cuts = Cuts(Path(os.environ.get(VARIABLE, os.devnull)))
 
 
-class CuttableWire(mesh.Wire):
+class CuttableWire(mesh.PeerConnection):
     """A held connection that holds what comes from an address that is cut off."""
 
     def __init__(self, *arguments: object) -> None:
@@ -59,23 +59,23 @@
         return self.peer is not None and mesh.ip_of(self.peer) in cuts.addresses
 
     def data_received(self, data: bytes) -> None:
-        before = self.heard
+        before = self.last_received_at
         super().data_received(data)
         if self.cut:
-            self.heard = before
+            self.last_received_at = before
 
-    def take(self, message: list) -> None:
+    def handle_message(self, message: list) -> None:
         if self.held or self.cut:
             self.held.append(message)
         else:
-            super().take(message)
+            super().handle_message(message)
 
     def hand_on(self) -> None:
         """What was held, in order, once the peer is heard again."""
         if not self.cut:
             held, self.held = self.held, []
             for message in held:
-                super().take(message)
+                super().handle_message(message)
 
     def connection_lost(self, error: Exception | None) -> None:
         cuts.wires.discard(self)
@@ -90,7 +90,7 @@
         cuts.watch()
         await serve(role, settings, path)
 
-    mesh.Wire, system.serve = CuttableWire, cuttable
+    mesh.PeerConnection, system.serve = CuttableWire, cuttable
 
 
 if __name__ == "__main__":
--- a/tests/system/test_mesh.py
+++ b/tests/system/test_mesh.py
@@ -1,4 +1,4 @@
-"""Held connections between processes, on loopback."""
+"""Persistent connections between processes, on loopback."""
 
 import asyncio
 import time
@@ -7,95 +7,100 @@
 import pytest
 import uvloop
 
-from fennelpoint.system.mesh import Mesh, name
+from fennelpoint.system.mesh import Mesh, peer_name
 from fennelpoint.testing.process import free_port
 
 IPS = ("127.0.0.1", "127.0.0.2")
 
 
-async def meshes() -> tuple[list[Mesh], list[tuple]]:
-    loop, heard, port = asyncio.get_running_loop(), [], free_port()
-    made = [Mesh(loop, "roll", ip, (port, port + 2), lambda peer, message, ip=ip: heard.append((ip, peer, message)))
-            for ip in IPS]
-    for one in made:
-        await one.start()
-    return made, heard
+async def start_meshes() -> tuple[list[Mesh], list[tuple]]:
+    """Returns a started mesh for each address, and the messages that they receive as (address, peer, message)."""
+    loop, received, port = asyncio.get_running_loop(), [], free_port()
+    meshes = [
+        Mesh(loop, "roll", ip, (port, port + 2), lambda peer, message, ip=ip: received.append((ip, peer, message)))
+        for ip in IPS]
+    for mesh in meshes:
+        await mesh.start()
+    return meshes, received
 
 
-async def until(what) -> None:
+async def wait_until(condition: Callable) -> None:
     async with asyncio.timeout(5.0):
-        while not what():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
-def test_either_side_may_be_the_one_that_knows_the_other() -> None:
-    """Guards newcomers: a machine that nobody knows yet dials, whether its address is the lower or the higher one."""
-    for who in (0, 1):
-        async def play(who: int = who) -> None:
-            (low, high), heard = await meshes()
-            one, other = (low, high) if who == 0 else (high, low)
-            one.dial({other.me})
-            await until(lambda: one.ways.get(other.me) and other.ways.get(one.me))
-            assert one.send(other.me, ["x", 1]) and other.send(one.me, ["y", b"2"])
-            await until(lambda: len(heard) == 2)
-            assert sorted(heard) == sorted([(other.ip, one.me, ["x", 1]), (one.ip, other.me, ["y", b"2"])])
+def test_either_side_may_dial_the_other() -> None:
+    """A new machine that its peers do not know yet has to dial them, whether its address is the lower or higher."""
+    for dialler_index in (0, 1):
+        async def play(dialler_index: int = dialler_index) -> None:
+            (low, high), received = await start_meshes()
+            dialler, target = (low, high) if dialler_index == 0 else (high, low)
+            dialler.dial({target.own_name})
+            await wait_until(lambda: dialler.connections_by_peer.get(target.own_name)
+                             and target.connections_by_peer.get(dialler.own_name))
+            assert dialler.send(target.own_name, ["x", 1]) and target.send(dialler.own_name, ["y", b"2"])
+            await wait_until(lambda: len(received) == 2)
+            assert sorted(received) == sorted([(target.ip, dialler.own_name, ["x", 1]),
+                                               (dialler.ip, target.own_name, ["y", b"2"])])
             for mesh in (low, high):
                 mesh.close()
             await asyncio.sleep(0)
         asyncio.run(play())
 
 
-def test_one_connection_does_for_two_that_dial_each_other_and_a_broken_one_comes_back() -> None:
+def test_two_peers_that_dial_each_other_share_one_connection_and_reconnect_after_a_failure() -> None:
     async def play() -> None:
-        (low, high), heard = await meshes()
-        low.dial({high.me})
-        await until(lambda: high.ways.get(low.me))
-        high.dial({low.me})
+        (low, high), received = await start_meshes()
+        low.dial({high.own_name})
+        await wait_until(lambda: high.connections_by_peer.get(low.own_name))
+        high.dial({low.own_name})
         await asyncio.sleep(0.05)
-        assert len(low.ways[high.me]) == len(high.ways[low.me]) == 1
-        for wire in list(low.wires):
-            wire.transport.abort()
-        await until(lambda: not low.ways.get(high.me))
-        assert not low.send(high.me, ["lost"])
-        await until(lambda: low.ways.get(high.me) and high.ways.get(low.me))
-        assert high.send(name("roll", low.ip), ["back"])
-        await until(lambda: (low.ip, high.me, ["back"]) in heard)
+        assert len(low.connections_by_peer[high.own_name]) == len(high.connections_by_peer[low.own_name]) == 1
+        for connection in list(low.connections):
+            connection.transport.abort()
+        await wait_until(lambda: not low.connections_by_peer.get(high.own_name))
+        assert not low.send(high.own_name, ["lost"])
+        await wait_until(lambda: low.connections_by_peer.get(high.own_name)
+                         and high.connections_by_peer.get(low.own_name))
+        assert high.send(peer_name("roll", low.ip), ["back"])
+        await wait_until(lambda: (low.ip, high.own_name, ["back"]) in received)
         for mesh in (low, high):
             mesh.close()
     asyncio.run(play())
 
 
-def test_the_end_of_a_peers_process_is_told_by_its_machines_refusal_and_a_silent_one_is_not() -> None:
+def test_only_a_refused_connection_reports_that_a_peers_process_has_ended() -> None:
     async def play() -> None:
-        (low, high), _ = await meshes()
+        (low, high), _ = await start_meshes()
         refusals: list[tuple[str, float]] = []
-        low.refused = lambda peer, dialled_at: refusals.append((peer, dialled_at))
-        low.dial({high.me})
-        await until(lambda: low.ways.get(high.me))
-        for wire in list(high.wires):
-            wire.transport.abort()      # the connection breaks, the process lives on
-        await until(lambda: not low.ways.get(high.me))
-        await until(lambda: low.ways.get(high.me))
+        low.on_refused = lambda peer, dialled_at: refusals.append((peer, dialled_at))
+        low.dial({high.own_name})
+        await wait_until(lambda: low.connections_by_peer.get(high.own_name))
+        for connection in list(high.connections):
+            connection.transport.abort()      # the connection fails, the process runs on
+        await wait_until(lambda: not low.connections_by_peer.get(high.own_name))
+        await wait_until(lambda: low.connections_by_peer.get(high.own_name))
         assert refusals == []
         ended_at = time.monotonic()
         high.close()
-        await until(lambda: refusals)
-        assert refusals[0][0] == high.me and refusals[0][1] >= ended_at
+        await wait_until(lambda: refusals)
+        assert refusals[0][0] == high.own_name and refusals[0][1] >= ended_at
         low.close()
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("runner", [asyncio.run, uvloop.run], ids=["asyncio", "uvloop"])
-def test_a_connect_that_is_given_up_just_as_it_comes_up_leaves_no_dead_way(runner: Callable) -> None:
-    """Its time may be up in the very turn of the loop in which it is made: a process that stood still sees both."""
+def test_a_dial_cancelled_as_its_connection_comes_up_leaves_no_dead_connection(runner: Callable) -> None:
+    """A process that was paused may see the connect and its time-out in the same turn of the event loop."""
     async def play() -> None:
-        (low, high), _ = await meshes()
-        low.changed = lambda peer, up: low.dialling[peer].cancel() if up else None
-        low.dial({high.me})
-        (dialling,) = low.dialling.values()
-        await asyncio.wait({dialling})
-        await until(lambda: not low.ways and not low.wires)
-        assert not low.send(high.me, ["nobody hears it"])
+        (low, high), _ = await start_meshes()
+        low.on_peer_change = lambda peer, is_up: low.dial_tasks[peer].cancel() if is_up else None
+        low.dial({high.own_name})
+        (dial_task,) = low.dial_tasks.values()
+        await asyncio.wait({dial_task})
+        await wait_until(lambda: not low.connections_by_peer and not low.connections)
+        assert not low.send(high.own_name, ["no connection"])
         low._ping()
         for mesh in (low, high):
             mesh.close()
