--- a/fennelpoint/system/calls.py
+++ b/fennelpoint/system/calls.py
@@ -1,6 +1,6 @@
-"""The one table of calls: what backends, operators and clients may ask of us, on which door.
+"""The table of HTTP API calls for backends, operators and clients, with the listener that serves each of them.
 
-A path's `{}` is one segment, handed to whoever carries the call out.
+A `{}` in a path is one path segment, which is passed to the handler of the call.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """`door` is the served address; `most` the largest body in bytes."""
+    """One API call; `listener` is the name of the listen address in the settings that serves it."""
 
     name: str
     method: str
     path: str
-    door: str
-    most: int = 64 * 1024
+    listener: str
+    max_body_bytes: int = 64 * 1024
 
 
-TABLE = (
+CALLS = (
     Call("ready", "GET", "/api/readiness", "readiness"),
     Call("resolve", "GET", "/api/resolve", "directory_service"),
     Call("beat", "PUT", "/api/instances/{}", "control_plane"),
@@ -36,15 +36,15 @@
     Call("snapshot", "GET", "/api/snapshot", "control_plane"),
     Call("revive", "PUT", "/api/snapshot", "control_plane", 16 * 1024 * 1024),
 )
-_PATTERNS = [(call, re.compile(re.escape(call.path).replace(r"\{\}", "([^/]+)"))) for call in TABLE]
+_PATTERNS = [(call, re.compile(re.escape(call.path).replace(r"\{\}", "([^/]+)"))) for call in CALLS]
 
 
-def find(door: str, method: str, path: str) -> tuple[Call | None, str, bool]:
-    """The call, its segment, and whether the path is known by another method."""
-    known = False
+def find_call(listener: str, method: str, path: str) -> tuple[Call | None, str, bool]:
+    """Returns the call, its decoded path segment, and whether the path exists, if only with another method."""
+    path_exists = False
     for call, pattern in _PATTERNS:
-        if call.door == door and (match := pattern.fullmatch(path)) is not None:
+        if call.listener == listener and (match := pattern.fullmatch(path)) is not None:
             if call.method == method:
                 return call, unquote(match[1]) if match.groups() else "", True
-            known = True
-    return None, "", known
+            path_exists = True
+    return None, "", path_exists
--- a/fennelpoint/system/frames.py
+++ b/fennelpoint/system/frames.py
@@ -1,4 +1,4 @@
-"""Messages between our own processes: msgpack, each with its length before it; long ones are packed by zlib."""
+"""Length-prefixed msgpack messages between the processes of the system; zlib compresses the long ones."""
 
 from __future__ import annotations
 
@@ -8,55 +8,56 @@
 
 import msgpack
 
-MOST = 32 * 1024 * 1024     # bytes of one message
-LONG = 700          # bytes from which packing is worth its time: lists of backends shrink to a third
-_HEAD = struct.Struct(">I")
-_PACKED = 1 << 31   # in a length: what follows is packed
+MAX_MESSAGE_BYTES = 32 * 1024 * 1024
+MIN_COMPRESS_BYTES = 700    # compressing pays off from here: lists of backends shrink to a third
+_LENGTH = struct.Struct(">I")
+_COMPRESSED = 1 << 31   # flag in the length prefix: the body is compressed
 
 
 class BadFrame(ValueError):
-    """Bytes that are no message; the connection is of no further use."""
+    """The bytes are not a valid message; the stream cannot be read any further."""
 
 
 def pack(message: list) -> bytes:
+    """Returns a message as a frame: length prefix and body."""
     data = msgpack.packb(message, use_bin_type=True)
-    if len(data) >= LONG and len(small := zlib.compress(data, 1)) < 0.9 * len(data):
-        return _HEAD.pack(len(small) | _PACKED) + small
-    return _HEAD.pack(len(data)) + data
+    if len(data) >= MIN_COMPRESS_BYTES and len(compressed_body := zlib.compress(data, 1)) < 0.9 * len(data):
+        return _LENGTH.pack(len(compressed_body) | _COMPRESSED) + compressed_body
+    return _LENGTH.pack(len(data)) + data
 
 
-def _unpacked(body: bytes) -> bytes:
-    """Guards the memory: what is packed may not grow beyond what a message may have."""
-    unpacker = zlib.decompressobj()
-    data = unpacker.decompress(body, MOST)
-    if not unpacker.eof:
-        raise ValueError("it is torn, or too long")
+def _decompress(body: bytes) -> bytes:
+    """Decompresses a body, within the size limit of a message: a small frame must not fill the memory."""
+    decompressor = zlib.decompressobj()
+    data = decompressor.decompress(body, MAX_MESSAGE_BYTES)
+    if not decompressor.eof:
+        raise ValueError("compressed body is truncated or too long")
     return data
 
 
 class Unpacker:
-    """Turns bytes as they come into whole messages."""
+    """Decodes a stream of frames into messages."""
 
     def __init__(self) -> None:
-        self.held = bytearray()
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[list]:
-        """The messages that are whole by now; raises BadFrame."""
-        self.held += data
-        while len(self.held) >= 4:
-            (size,) = _HEAD.unpack_from(self.held)
-            packed, size = size & _PACKED, size & ~_PACKED
-            if size > MOST:
-                raise BadFrame(f"a message of {size} bytes")
-            if len(self.held) < 4 + size:
+        """Adds received bytes and yields the messages that are complete; raises BadFrame."""
+        self.buffer += data
+        while len(self.buffer) >= 4:
+            (size,) = _LENGTH.unpack_from(self.buffer)
+            is_compressed, size = size & _COMPRESSED, size & ~_COMPRESSED
+            if size > MAX_MESSAGE_BYTES:
+                raise BadFrame(f"message of {size} bytes exceeds the limit")
+            if len(self.buffer) < 4 + size:
                 return
-            body = bytes(self.held[4:4 + size])
-            del self.held[:4 + size]
+            body = bytes(self.buffer[4:4 + size])
+            del self.buffer[:4 + size]
             try:
-                body = _unpacked(body) if packed else body
+                body = _decompress(body) if is_compressed else body
                 message = msgpack.unpackb(body, raw=False, strict_map_key=False, use_list=True)
             except Exception as error:
-                raise BadFrame(f"it can't be read: {error}") from None
+                raise BadFrame(f"invalid message body: {error}") from None
             if not isinstance(message, list) or not message or not isinstance(message[0], str):
-                raise BadFrame("it has no kind")
+                raise BadFrame("message has no kind")
             yield message
--- a/fennelpoint/system/http_server.py
+++ b/fennelpoint/system/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for the calls of `calls.py`: readiness, directory, backends, operators."""
+"""A small HTTP/1.1 server for the API calls of `calls.py`: readiness, directory, backends, operators."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 import httptools
 
-from fennelpoint.system.calls import Call, find
+from fennelpoint.system.calls import Call, find_call
 
-IDLE = 12.0     # s that a connection may stand
+IDLE_TIMEOUT_S = 12.0
 REASONS = {200: "OK", 307: "Temporary Redirect", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
            409: "Conflict", 412: "Precondition Failed", 413: "Content Too Large", 422: "Unprocessable Content",
            429: "Too Many Requests", 503: "Service Unavailable"}
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """`value` goes out as JSON; `raw` is JSON already."""
+    """A response; the body is `value` as JSON, or `raw`, which is JSON already."""
 
     status: int
     value: object = None
@@ -29,6 +29,7 @@
     headers: list[tuple[str, str]] = field(default_factory=list)
 
     def render(self, close: bool) -> bytes:
+        """Returns the bytes of the response; `close` announces the end of the connection."""
         body = self.raw if self.raw is not None else b"" if self.value is None else json.dumps(
             self.value, separators=(",", ":")).encode()
         lines = [f"HTTP/1.1 {self.status} {REASONS.get(self.status, 'Status')}", f"Content-Length: {len(body)}"]
@@ -40,147 +41,157 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-class Asking:
-    """One call that waits for its reply; `answer` may be given once, at any time."""
+class ApiRequest:
+    """One API call that waits for its reply; `answer` takes effect once, at any time."""
 
-    __slots__ = ("call", "segment", "query", "body", "_visit", "answered")
+    __slots__ = ("call", "segment", "query", "body", "_connection", "is_answered")
 
-    def __init__(self, call: Call, segment: str, query: dict[str, str], body: bytes, visit: Visit | None) -> None:
-        self.call, self.segment, self.query, self.body, self._visit = call, segment, query, body, visit
-        self.answered = False
+    def __init__(self, call: Call, segment: str, query: dict[str, str], body: bytes,
+                 connection: HttpConnection | None) -> None:
+        self.call, self.segment, self.query, self.body, self._connection = call, segment, query, body, connection
+        self.is_answered = False
 
     def answer(self, reply: Reply) -> None:
-        if not self.answered:
-            self.answered = True
-            if self._visit is not None:
-                self._visit.say(reply)
+        """Sends the reply; any further reply is ignored."""
+        if not self.is_answered:
+            self.is_answered = True
+            if self._connection is not None:
+                self._connection.respond(reply)
 
     @property
-    def gone(self) -> bool:
-        """Whether nobody waits any more, also where that has not been read yet."""
-        return self._visit is not None and (self._visit.lost or self._visit.hung_up)
+    def is_abandoned(self) -> bool:
+        """Whether the caller has disconnected, even if this process has not read that yet."""
+        return self._connection is not None and (self._connection.is_lost or self._connection.is_closed_by_caller)
 
 
-class Visit(asyncio.Protocol):
-    """One caller's connection; its calls are answered in turn."""
+class HttpConnection(asyncio.Protocol):
+    """One connection of a caller; its requests are answered one after the other, in order."""
 
-    def __init__(self, web: Web, door: str) -> None:
-        self.web, self.door, self.lost = web, door, False
+    def __init__(self, server: HttpServer, listener: str) -> None:
+        self.server, self.listener, self.is_lost = server, listener, False
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.waiting: list[tuple[Asking | Reply, bool]] = []
-        self.open: Asking | None = None
-        self.keep, self.url, self.body, self.size, self.deaf = True, b"", [], 0, False
-        self.timer: asyncio.TimerHandle | None = None
+        self.queue: list[tuple[ApiRequest | Reply, bool]] = []  # with whether to keep the connection alive after it
+        self.active: ApiRequest | None = None
+        self.keep_alive, self.url, self.body, self.body_size, self.ignores_input = True, b"", [], 0, False
+        self.idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        self._rest()
+        self._restart_idle_timer()
 
-    def _rest(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer = self.web.loop.call_later(IDLE, self._idle)
+    def _restart_idle_timer(self) -> None:
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+        self.idle_timer = self.server.loop.call_later(IDLE_TIMEOUT_S, self._close_if_idle)
 
-    def _idle(self) -> None:
-        if self.open is None and not self.waiting:
+    def _close_if_idle(self) -> None:
+        if self.active is None and not self.queue:
             self.transport.close()
         else:
-            self._rest()
+            self._restart_idle_timer()
 
     def data_received(self, data: bytes) -> None:
-        if self.deaf:
+        if self.ignores_input:
             return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._fault(Reply(400, {"error_message": "it can't be read"}))
-        self._next()
+            self._reject(Reply(400, {"error_message": "malformed HTTP request"}))
+        self._start_next()
 
-    def _fault(self, reply: Reply) -> None:
-        if not self.deaf:
-            self.deaf = True
-            self.waiting.append((reply, False))
+    def _reject(self, reply: Reply) -> None:
+        """Queues an error reply, and ignores all input after it."""
+        if not self.ignores_input:
+            self.ignores_input = True
+            self.queue.append((reply, False))
 
     def on_message_begin(self) -> None:
-        self.url, self.body, self.size = b"", [], 0
+        self.url, self.body, self.body_size = b"", [], 0
 
     def on_url(self, url: bytes) -> None:
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if name.lower() == b"expect" and self.open is None and not self.waiting:    # else it would be another's
+        # With a request before this one, the caller would take the 100 for the answer to that.
+        if name.lower() == b"expect" and self.active is None and not self.queue:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        self.size += len(body)
-        if self.size <= self.web.most:
+        self.body_size += len(body)
+        if self.body_size <= self.server.max_body_bytes:
             self.body.append(body)
 
     def on_message_complete(self) -> None:
-        if self.deaf:
+        if self.ignores_input:
             return
-        keep, method = self.parser.should_keep_alive(), self.parser.get_method().decode()
+        keep_alive, method = self.parser.should_keep_alive(), self.parser.get_method().decode()
         try:
-            parts = httptools.parse_url(self.url)
-            path, query = (parts.path or b"/").decode(), (parts.query or b"").decode()
+            target = httptools.parse_url(self.url)
+            path, query = (target.path or b"/").decode(), (target.query or b"").decode()
         except (httptools.HttpParserError, UnicodeDecodeError):
-            return self._fault(Reply(400, {"error_message": "the target can't be read"}))
-        call, segment, known = find(self.door, method, path)
+            return self._reject(Reply(400, {"error_message": "malformed request target"}))
+        call, segment, path_exists = find_call(self.listener, method, path)
         if call is None:
-            self.waiting.append((Reply(405 if known else 404, {"error_message": "there is no such call"}), keep))
-        elif self.size > call.most:
-            self.waiting.append((Reply(413, {"error_message": "the body is too large"}), keep))
+            self.queue.append((Reply(405 if path_exists else 404, {"error_message": "no such API call"}), keep_alive))
+        elif self.body_size > call.max_body_bytes:
+            self.queue.append((Reply(413, {"error_message": "request body is too large"}), keep_alive))
         else:
-            asking = Asking(call, segment, dict(parse_qsl(query)), b"".join(self.body), self)
-            self.waiting.append((asking, keep))
-
-    def _next(self) -> None:
-        while self.waiting and self.open is None and not self.lost:
-            what, self.keep = self.waiting.pop(0)
-            if isinstance(what, Reply):
-                self._write(what)
+            request = ApiRequest(call, segment, dict(parse_qsl(query)), b"".join(self.body), self)
+            self.queue.append((request, keep_alive))
+
+    def _start_next(self) -> None:
+        while self.queue and self.active is None and not self.is_lost:
+            request, self.keep_alive = self.queue.pop(0)
+            if isinstance(request, Reply):
+                self._write(request)
             else:
-                self.open = what
-                self.web.take(what)
+                self.active = request
+                self.server.handler(request)
 
-    def say(self, reply: Reply) -> None:
-        self.open = None
-        if not self.lost:
+    def respond(self, reply: Reply) -> None:
+        """Sends the reply to the active request and starts the next one."""
+        self.active = None
+        if not self.is_lost:
             self._write(reply)
-            self._next()
+            self._start_next()
 
     def _write(self, reply: Reply) -> None:
-        self.transport.write(reply.render(not self.keep))
-        if not self.keep:
+        self.transport.write(reply.render(not self.keep_alive))
+        if not self.keep_alive:
             self.transport.close()
-        self._rest()
+        self._restart_idle_timer()
 
     @property
-    def hung_up(self) -> bool:
-        """Whether the caller has closed: a process that was frozen reads what was asked before that."""
-        if self.transport is None or (place := self.transport.get_extra_info("socket")) is None:
+    def is_closed_by_caller(self) -> bool:
+        """Whether the caller has closed the connection.
+
+        A process that was paused reads requests that were sent before the caller closed.
+        """
+        if self.transport is None or (sock := self.transport.get_extra_info("socket")) is None:
             return False
         poll = select.poll()
-        poll.register(place.fileno(), select.POLLRDHUP)     # a reset is told unasked
+        poll.register(sock.fileno(), select.POLLRDHUP)     # poll reports a reset without a flag for it
         return bool(poll.poll(0))
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.lost, self.parser = True, None
-        if self.timer is not None:
-            self.timer.cancel()
+        self.is_lost, self.parser = True, None
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
 
 
-class Web:
-    """Listens at some doors; `take` gets each call and answers it."""
+class HttpServer:
+    """Serves API calls on one or more listen addresses; `handler` gets each request and answers it."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, take: Callable[[Asking], None], most: int = 1 << 24) -> None:
-        self.loop, self.take, self.most = loop, take, most
+    def __init__(self, loop: asyncio.AbstractEventLoop, handler: Callable[[ApiRequest], None],
+                 max_body_bytes: int = 1 << 24) -> None:
+        self.loop, self.handler, self.max_body_bytes = loop, handler, max_body_bytes
         self.listeners: list[asyncio.Server] = []
 
-    async def listen(self, door: str, at: tuple[str, int]) -> None:
+    async def listen(self, listener: str, address: tuple[str, int]) -> None:
+        """Serves the calls of a listener, as `calls.py` names it, at an address."""
         self.listeners.append(await self.loop.create_server(
-            lambda: Visit(self, door), *at, backlog=256, reuse_address=True))
+            lambda: HttpConnection(self, listener), *address, backlog=256, reuse_address=True))
 
     def close(self) -> None:
         for listener in self.listeners:
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -19,7 +19,7 @@
 from fennelpoint.system.actions import Send
 from fennelpoint.system.config_versions import compile_version
 from fennelpoint.system.events import Event, say
-from fennelpoint.system.http_server import Asking, Reply, Web
+from fennelpoint.system.http_server import ApiRequest, HttpServer, Reply
 from fennelpoint.system.mesh import Mesh
 from fennelpoint.system.proxy.controller import ProxyController
 from fennelpoint.system.proxy.controller_host import ProxyBackends, ProxyHost
@@ -92,7 +92,7 @@
                                    take_request_counts=self.reader.take_request_counts)
         self.mesh = Mesh(loop, "span", settings.ip_address, settings.internal_ports, self.handle_message,
                          self.handle_connection, RECONNECT_INTERVAL_S)
-        self.web = Web(loop, self.handle_readiness)
+        self.web = HttpServer(loop, self.handle_readiness)
         self.logged_cut: Cut | None = None  # the admission cut that was logged last
         self.evacuated_zones: frozenset = frozenset()
         self.restored_at: dict[str, float] = {}     # by zone: its backends are in cold start for a while
@@ -119,7 +119,7 @@
         self._tick()
         self._sweep()
 
-    def handle_readiness(self, request: Asking) -> None:
+    def handle_readiness(self, request: ApiRequest) -> None:
         request.answer(Reply(200 if self.life_cycle.ready and self.has_valid_lease() else 503))
 
     # Session with the core
--- a/fennelpoint/system/registry/operator_handlers.py
+++ b/fennelpoint/system/registry/operator_handlers.py
@@ -13,7 +13,7 @@
 from result import Err, Result
 
 from fennelpoint.system import config_versions
-from fennelpoint.system.http_server import Asking, Reply
+from fennelpoint.system.http_server import ApiRequest, Reply
 from fennelpoint.system.registry.allocation_leader import AllocationLeader
 from fennelpoint.system.registry.backend_table import DRAINING, BackendTable
 from fennelpoint.system.registry.leader_lease import LEASE_S
@@ -51,7 +51,7 @@
     allocation: AllocationLeader
 
     def has_quorum(self, now: float) -> bool: ...
-    def answer(self, request: Asking, reply: Reply) -> None: ...
+    def answer(self, request: ApiRequest, reply: Reply) -> None: ...
     def send(self, to: str, message: list) -> None: ...
     def with_content(self, digest: str, now: float, callback: Callable[[], None]) -> Any: ...
 
@@ -62,7 +62,7 @@
     def __init__(self, registry: RegistryContext) -> None:
         self.registry = registry
 
-    def _add_pending_call(self, request: Asking, now: float, on_result: Callable[[list], None],
+    def _add_pending_call(self, request: ApiRequest, now: float, on_result: Callable[[list], None],
                           short_timeout: bool = False) -> int:
         """Keep a call until its result arrives; return its token."""
         self.registry.last_token += 1
@@ -70,7 +70,7 @@
             request, now + (SHORT_TIMEOUT_S if short_timeout else CHANGE_TIMEOUT_S), on_result=on_result)
         return self.registry.last_token
 
-    def _with_content(self, request: Asking, now: float, digest: str, callback: Callable[[], None],
+    def _with_content(self, request: ApiRequest, now: float, digest: str, callback: Callable[[], None],
                       short_timeout: bool = False) -> None:
         """Call back once the configuration with this digest is here, unless the call times out before."""
         token = self._add_pending_call(request, now, lambda result: None, short_timeout)
@@ -80,21 +80,21 @@
                 callback()
         self.registry.with_content(digest, now, on_content)
 
-    def _change(self, request: Asking, now: float, kind: str, arguments: list, data: bytes = b"",
+    def _change(self, request: ApiRequest, now: float, kind: str, arguments: list, data: bytes = b"",
                 short_timeout: bool = False) -> None:
         """Propose a change to the store, and reply with its outcome.
 
         With a short timeout the change is withdrawn once its caller has disconnected or the time is up: it must not
         undo a later change that the operator has made at another machine.
         """
-        if short_timeout and request.gone:  # the request waited while this machine was paused
+        if short_timeout and request.is_abandoned:  # the request waited while this machine was paused
             return self.registry.answer(request, error_reply(503, "the caller has disconnected"))
         token = self._add_pending_call(request, now, lambda result: self.registry.answer(
             request, Reply(200, {}) if result[0] == 200 else error_reply(result[0], result[1])), short_timeout)
         self.registry.pending_calls[token].withdraw_if_abandoned = short_timeout
         self.registry.send(self.registry.store_peer, ["change", token, kind, arguments, data])
 
-    def _call_put(self, request: Asking, now: float) -> None:
+    def _call_put(self, request: ApiRequest, now: float) -> None:
         decoded = config_versions.decode(request.body).and_then(
             lambda value: config_versions.numbers(value).and_then(
                 lambda versions: _validate(value).map(lambda _: (value, versions))))
@@ -108,7 +108,7 @@
         """Whether a 412 may be temporary: the base version may arrive while another machine holds the same call."""
         return base > self.registry.cluster_state.get("version", 0)
 
-    def _propose_configuration(self, request: Asking, now: float, version: int, base: int, request_digest: str,
+    def _propose_configuration(self, request: ApiRequest, now: float, version: int, base: int, request_digest: str,
                                value: dict, short_timeout: bool) -> None:
         try:
             data = zlib.compress(config_versions.encode(value), 1)
@@ -117,7 +117,7 @@
         self._change(request, now, "put", [version, base, request_digest, config_versions.digest(data)], data,
                      short_timeout)
 
-    def _call_patch(self, request: Asking, now: float) -> None:
+    def _call_patch(self, request: ApiRequest, now: float) -> None:
         decoded = config_versions.decode(request.body).and_then(
             lambda value: config_versions.numbers(value).map(lambda versions: (value, versions)))
         if isinstance(decoded, Err):
@@ -146,7 +146,7 @@
         self.registry.send(self.registry.store_peer,
                            ["read", self._add_pending_call(request, now, on_state, short_timeout)])
 
-    def _answer_from_newest(self, request: Asking, now: float, reply: Callable[[dict, bytes], Reply]) -> None:
+    def _answer_from_newest(self, request: ApiRequest, now: float, reply: Callable[[dict, bytes], Reply]) -> None:
         """Reply by the state that a majority holds now, and its configuration as JSON."""
         def on_state(result: list) -> None:
             if (cluster_state := result[0]) is None:
@@ -158,26 +158,26 @@
 
         self.registry.send(self.registry.store_peer, ["read", self._add_pending_call(request, now, on_state)])
 
-    def _call_get(self, request: Asking, now: float) -> None:
+    def _call_get(self, request: ApiRequest, now: float) -> None:
         self._answer_from_newest(request, now, lambda cluster_state, configuration: Reply(200, raw=configuration))
 
     # An evacuation carries no version: without the short timeout, a delayed one could undo a later restore.
-    def _call_evacuate(self, request: Asking, now: float) -> None:
+    def _call_evacuate(self, request: ApiRequest, now: float) -> None:
         self._change(request, now, "evacuate", [request.segment, True], short_timeout=True)
 
-    def _call_restore(self, request: Asking, now: float) -> None:
+    def _call_restore(self, request: ApiRequest, now: float) -> None:
         self._change(request, now, "evacuate", [request.segment, False], short_timeout=True)
 
     # Recovery of a core that was lost for good
 
-    def _call_snapshot(self, request: Asking, now: float) -> None:
+    def _call_snapshot(self, request: ApiRequest, now: float) -> None:
         """All agreed state that has to outlast the core, as one JSON object."""
         self._answer_from_newest(request, now, lambda cluster_state, configuration: Reply(200, {
             "schema": SNAPSHOT_SCHEMA, **{name: cluster_state[name] for name in SNAPSHOT_FIELDS},
             "floor": floor_of(upgrade(cluster_state)),
             "configuration": config_versions.decode(configuration).unwrap()}))
 
-    def _call_revive(self, request: Asking, now: float) -> None:
+    def _call_revive(self, request: ApiRequest, now: float) -> None:
         """Restore a snapshot into a new core; a core that holds any configuration rejects it."""
         decoded = config_versions.decode(request.body).and_then(config_versions.snapshot)
         validated = decoded.and_then(lambda value: _validate(value["configuration"]))
@@ -190,7 +190,7 @@
 
     # Status
 
-    def _call_status(self, request: Asking, now: float) -> None:
+    def _call_status(self, request: ApiRequest, now: float) -> None:
         """The state of the whole system as this core machine sees it."""
         registry, cluster_state = self.registry, self.registry.cluster_state
         holder = registry.allocation.lease.holder
@@ -224,7 +224,7 @@
             ),
         )
 
-    def _call_parts(self, request: Asking, now: float) -> None:
+    def _call_parts(self, request: ApiRequest, now: float) -> None:
         """Which proxies hold which quota shares, from the allocator; other machines redirect to it."""
         registry, duty, allocator = self.registry, self.registry.allocation.lease, self.registry.allocation.allocator
         if allocator is not None and duty.holds(now):
--- a/fennelpoint/system/registry/pending_calls.py
+++ b/fennelpoint/system/registry/pending_calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fennelpoint.system.http_server import Asking, Reply
+from fennelpoint.system.http_server import ApiRequest, Reply
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
 class Answer:
     """Reply to an HTTP call."""
 
-    request: Asking
+    request: ApiRequest
     reply: Reply
 
 
@@ -31,7 +31,7 @@
 class PendingCall:
     """A call that waits for a majority of core machines or for the store; it fails with 503 at its deadline."""
 
-    request: Asking
+    request: ApiRequest
     deadline: float
     holders: set[str] = field(default_factory=set)  # IP addresses of machines that have stored the change
     on_result: Callable[[list], None] | None = None
--- a/fennelpoint/system/registry/program.py
+++ b/fennelpoint/system/registry/program.py
@@ -9,7 +9,7 @@
 from fennelpoint.invariants import violations
 from fennelpoint.system.actions import Violation
 from fennelpoint.system.events import Event, say
-from fennelpoint.system.http_server import Asking, Reply, Web
+from fennelpoint.system.http_server import ApiRequest, HttpServer, Reply
 from fennelpoint.system.mesh import Mesh, peer_name
 from fennelpoint.system.registry.state_machine import Answer, Note, RegistryStateMachine, Save, Send
 from fennelpoint.system.registry.storage import BackendStorage
@@ -32,7 +32,7 @@
         self.registry.restore(self.storage.rows, time.monotonic())
         self.mesh = Mesh(loop, "roll", settings.ip_address, settings.internal_ports, self.on_message, self.on_link,
                          on_refused=self.on_connection_refused)
-        self.web = Web(loop, self.on_call)
+        self.web = HttpServer(loop, self.on_call)
         self.stopped = loop.create_future()
 
     async def start(self) -> None:
@@ -59,7 +59,7 @@
     def on_connection_refused(self, peer: str, dialled_at: float) -> None:
         self.execute(self.registry.on_connection_refused(peer, dialled_at, time.monotonic()))
 
-    def on_call(self, request: Asking) -> None:
+    def on_call(self, request: ApiRequest) -> None:
         try:
             self.execute(self.registry.on_call(request, time.monotonic()))
         except Exception as error:
--- a/fennelpoint/system/registry/state_machine.py
+++ b/fennelpoint/system/registry/state_machine.py
@@ -12,7 +12,7 @@
 from fennelpoint.system import config_versions
 from fennelpoint.system.actions import Note, Send
 from fennelpoint.system.graceful_shutdown import Leaving, within
-from fennelpoint.system.http_server import Asking, Reply
+from fennelpoint.system.http_server import ApiRequest, Reply
 from fennelpoint.system.incarnation import first_number
 from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.registry.allocation_leader import ALLOCATION_MESSAGES, AllocationLeader
@@ -144,7 +144,7 @@
             self.leaving.busy(now)
         return self.leaving.over(now)
 
-    def on_call(self, request: Asking, now: float) -> list:
+    def on_call(self, request: ApiRequest, now: float) -> list:
         """Handle an HTTP call; the reply may come at any later time."""
         if self.leaving:
             self.answer(request, error_reply(503, "this machine is shutting down"))
@@ -193,7 +193,7 @@
         """Run all timers that have expired; to be called several times a second."""
         self._check_for_pause(now)
         for token, pending in list(self.pending_calls.items()):
-            if now >= pending.deadline or pending.request.gone:
+            if now >= pending.deadline or pending.request.is_abandoned:
                 del self.pending_calls[token]
                 if pending.withdraw_if_abandoned:
                     self.send(self.store_peer, ["withdraw", token])
@@ -271,7 +271,7 @@
             to, message = relay, ["passed", ip_of(to), message]
         self.actions.append(Send(to, message))
 
-    def answer(self, request: Asking, reply: Reply) -> None:
+    def answer(self, request: ApiRequest, reply: Reply) -> None:
         self.actions.append(Answer(request, reply))
 
     # Core membership
@@ -313,7 +313,7 @@
 
     # Backends
 
-    def _call_beat(self, request: Asking, now: float) -> None:
+    def _call_beat(self, request: ApiRequest, now: float) -> None:
         try:
             value = config_versions.json.loads(request.body)
             info, status = value["information"], value["status"]
@@ -344,7 +344,7 @@
         self.answer(request, Reply(200, body) if self.has_quorum(now) else
                     error_reply(503, "this machine has no contact with a majority"))
 
-    def _call_leave(self, request: Asking, now: float) -> None:
+    def _call_leave(self, request: ApiRequest, now: float) -> None:
         old = self.backends.by_id.get(request.segment)
         report = old.current_report(now) if old is not None else BackendReport(
             request.segment, "", "", "", 0, "", GONE, 0, 0.0)
@@ -366,7 +366,7 @@
         same_region = [ip for ip, z in candidates.items() if self.region_of_zone.get(z) == region]
         return min(same_zone or same_region, key=lambda ip: preference(backend, ip), default=None)
 
-    def _answer_after_majority(self, request: Asking, ids: list[str], now: float, reply: Reply) -> None:
+    def _answer_after_majority(self, request: ApiRequest, ids: list[str], now: float, reply: Reply) -> None:
         """Replicate these backends, and reply once a majority has stored them, which itself proves a quorum."""
         if not self.has_quorum(now) and not self.is_majority({self.node_ip, *self.linked_registries}):
             self._replicate(ids, now, 0)
@@ -625,7 +625,7 @@
 
     # Clients
 
-    def _call_resolve(self, request: Asking, now: float) -> None:
+    def _call_resolve(self, request: ApiRequest, now: float) -> None:
         zone = request.query.get("availability_zone", "")
         region = request.query.get("region") or self.region_of_zone.get(zone, "")
         resolved = self.directory.resolve(request.query.get("name", ""), zone, region, self.quorum_since, now)
--- a/fennelpoint/testing/core_calls.py
+++ b/fennelpoint/testing/core_calls.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from fennelpoint.system.calls import find
-from fennelpoint.system.http_server import Asking
+from fennelpoint.system.calls import find_call
+from fennelpoint.system.http_server import ApiRequest
 from fennelpoint.testing.core_machines import Backend, Broken, Caller
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
     homes: list[str]
     cores: dict[str, Core]
     fronts: dict[str, Front]
-    asked: dict[str, list[Asking]]
+    asked: dict[str, list[ApiRequest]]
     replies: dict[int, Reply]
     beaten: dict[int, Backend]
     waits: dict[str, list[Callable[[], None]]]
@@ -47,9 +47,9 @@
     ) -> None:
         """A call to one core machine; its reply is kept under the label.  A body of bytes is sent as it is."""
         core = self.cores[via]
-        found, segment, _ = find(door, method, path)
+        found, segment, _ = find_call(door, method, path)
         data = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
-        asking = Asking(found, segment, query or {}, data, Caller())
+        asking = ApiRequest(found, segment, query or {}, data, Caller())
         self.asked.setdefault(label, []).append(asking)
         if by is not None:
             self.beaten[id(asking)] = by
@@ -91,7 +91,7 @@
         addresses = reply.value["addresses"] if reply.status == 200 else []
         return sorted({self.fronts[address.partition(":")[0]].region for address in addresses})
 
-    def _until_acked(self, asking: Asking) -> None:
+    def _until_acked(self, asking: ApiRequest) -> None:
         limit = self.now + TAKEN_WITHIN
         while (reply := self.replies.get(id(asking))) is None and self.now < limit:
             self.run(self.now + STEP)
--- a/fennelpoint/testing/core_machines.py
+++ b/fennelpoint/testing/core_machines.py
@@ -18,8 +18,8 @@
 class Caller:
     """Who waits for an answer, as a connection would."""
 
-    lost: bool = False
-    hung_up: bool = False
+    is_lost: bool = False
+    is_closed_by_caller: bool = False
 
 
 @dataclass(eq=False)
--- a/fennelpoint/testing/core_simulation.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -18,7 +18,7 @@
 from fennelpoint.fleet.store import making_room
 from fennelpoint.system.actions import Send, Violation
 from fennelpoint.system.frames import Unpacker, pack
-from fennelpoint.system.http_server import Asking, Reply
+from fennelpoint.system.http_server import ApiRequest, Reply
 from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.session_actions import ApplyConfig, LeaseChanged, UnitsReceived
@@ -57,7 +57,7 @@
         self.late: dict[str, float] = {}        # the same, by its kind
         self.thin: dict[str, float] = {}        # s more that a content takes to a core machine
         self.links: dict[tuple[str, str], tuple[bool, float]] = {}
-        self.asked: dict[str, list[Asking]] = {}        # calls by what they are named
+        self.asked: dict[str, list[ApiRequest]] = {}        # calls by what they are named
         self.replies: dict[int, Reply] = {}
         self.acked: dict[int, float] = {}       # versions, and when
         self.started = False
@@ -212,7 +212,7 @@
                 case roll.Note("LOST", fields):
                     self.losses += [id for id in fields["ids"].split(", ") if self.backends[id].state != "silent"]
 
-    def _answered(self, asking: Asking, reply: Reply) -> None:
+    def _answered(self, asking: ApiRequest, reply: Reply) -> None:
         if id(asking) in self.replies:
             raise Broken(f"{self.now:.2f}: one call has two answers")
         self.replies[id(asking)] = reply
--- a/fennelpoint/testing/operator_calls.py
+++ b/fennelpoint/testing/operator_calls.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from fennelpoint.system.calls import find
-from fennelpoint.system.http_server import Asking, Reply
+from fennelpoint.system.calls import find_call
+from fennelpoint.system.http_server import ApiRequest, Reply
 from fennelpoint.testing.core_machines import Broken, Caller
 from fennelpoint.testing.linearizable import Op
 
@@ -38,7 +38,7 @@
     only: str = ""  # no other will do
     tries: int = 0
     follows: int = 0
-    asking: Asking | None = None
+    asking: ApiRequest | None = None
     answered: Op | None = None
 
 
@@ -53,8 +53,8 @@
     asleep: dict[str, list[Callable[[], None]]]
     history: list[Op]
     flows: list[Flow]
-    open: dict[int, tuple[Flow, Asking, str]]
-    kept: list[Asking]
+    open: dict[int, tuple[Flow, ApiRequest, str]]
+    kept: list[ApiRequest]
     known: list[int]
     orders: int
     bodies: dict[int, bytes]
@@ -136,14 +136,14 @@
             return
         there = [ip for ip in self.cores if ip not in self.removed and ip != flow.via] or list(self.cores)
         flow.via = via or flow.only or self.dice.choice(there)
-        call, segment, _ = find("control_plane", flow.method, flow.path)
-        asking = flow.asking = Asking(call, segment, {}, flow.body, Caller())
+        call, segment, _ = find_call("control_plane", flow.method, flow.path)
+        asking = flow.asking = ApiRequest(call, segment, {}, flow.body, Caller())
         self.kept.append(asking)
         at = flow.via
         self._later(self._way(), lambda: self._arrive(flow, asking, at))
         self._later(SILENCE, lambda: self._failed(flow, asking))
 
-    def _arrive(self, flow: Flow, asking: Asking, via: str) -> None:
+    def _arrive(self, flow: Flow, asking: ApiRequest, via: str) -> None:
         core = self.cores[via]
         if not core.up:
             return self._failed(flow, asking)
@@ -152,23 +152,23 @@
         self.open[id(asking)] = (flow, asking, via)
         self._roll(core, core.registry.on_call(asking, self.now))
 
-    def _answered(self, asking: Asking, reply: Reply) -> None:
+    def _answered(self, asking: ApiRequest, reply: Reply) -> None:
         super()._answered(asking, reply)
         flow, _, via = self.open.pop(id(asking))
-        if asking.gone or self.plan.lossy and not self.peace and self.dice.random() < 0.2:
+        if asking.is_abandoned or self.plan.lossy and not self.peace and self.dice.random() < 0.2:
             pass  # the caller has gone on, or will
         else:
             self._later(self._way(), lambda: self._got(flow, asking, reply))
         if reply.status == 200 and asking.call.name in CHANGES:
             self._acked(via)
 
-    def _failed(self, flow: Flow, asking: Asking) -> None:
+    def _failed(self, flow: Flow, asking: ApiRequest) -> None:
         if flow.asking is asking:
             self._again(flow)
 
     def _again(self, flow: Flow) -> None:
         if flow.asking is not None:
-            flow.asking._visit.lost = True
+            flow.asking._connection.is_lost = True
         flow.asking = None
         pause = min(LONGEST, PAUSE * 2**flow.tries)
         flow.tries += 1
@@ -176,7 +176,7 @@
             return self._later(pause, lambda: self._try(flow))
         self._end(flow, 0, None)
 
-    def _got(self, flow: Flow, asking: Asking, reply: Reply) -> None:
+    def _got(self, flow: Flow, asking: ApiRequest, reply: Reply) -> None:
         if flow.asking is not asking:
             return
         if reply.status == 307 and flow.follows < 2:
--- a/fennelpoint/testing/operators.py
+++ b/fennelpoint/testing/operators.py
@@ -13,7 +13,7 @@
 from heapq import heappop
 from random import Random
 
-from fennelpoint.system.http_server import Asking
+from fennelpoint.system.http_server import ApiRequest
 from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.settings import Bounds
 from fennelpoint.testing.core_machines import Broken, Core
@@ -38,8 +38,8 @@
         self.dice = Random(self.plan.seed)
         self.bounds = Bounds()
         self.flows: list[Flow] = []
-        self.open: dict[int, tuple[Flow, Asking, str]] = {}
-        self.kept: list[Asking] = []  # so that no other gets the same id
+        self.open: dict[int, tuple[Flow, ApiRequest, str]] = {}
+        self.kept: list[ApiRequest] = []  # so that no other gets the same id
         self.known = [0, 0]  # newest version that each operator has seen
         self.orders = 0
         self.bodies: dict[int, bytes] = {}  # of orders
--- a/fennelpoint/testing/scenario_language.py
+++ b/fennelpoint/testing/scenario_language.py
@@ -97,7 +97,7 @@
             case ["evacuate", zone, "via", ip]:
                 self.call("POST", f"/api/evacuation/{zone}", None, ip, f"evacuate {zone}")
             case ["hang", "up", *label]:    # who called so last is gone
-                self.asked[" ".join(label)][-1]._visit.lost = True
+                self.asked[" ".join(label)][-1]._connection.is_lost = True
             case ["restore", zone, "via", ip]:
                 self.call("DELETE", f"/api/evacuation/{zone}", None, ip, f"restore {zone}")
             case ["get", "via", ip]:
--- a/tests/system/test_idempotency.py
+++ b/tests/system/test_idempotency.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from fennelpoint.system.config_versions import digest, encode
-from fennelpoint.system.http_server import Reply, Web
+from fennelpoint.system.http_server import HttpServer, Reply
 from fennelpoint.system.store import idempotency
 from fennelpoint.system.store.replicated_state import configure, empty, put_orders_away, revive
 
@@ -138,7 +138,7 @@
     """Guards an evacuation's end: the begin lies in a socket's buffer as long as this process is frozen."""
     loop = asyncio.new_event_loop()
     seen: list[bool] = []
-    web = Web(loop, lambda asking: (seen.append(asking.gone), asking.answer(Reply(503))))
+    web = HttpServer(loop, lambda asking: (seen.append(asking.is_abandoned), asking.answer(Reply(503))))
     loop.run_until_complete(web.listen("control_plane", ("127.0.0.1", 0)))
     at = web.listeners[0].sockets[0].getsockname()
     for leaves in (True, False):
--- a/tests/system/test_operator_cli.py
+++ b/tests/system/test_operator_cli.py
@@ -11,7 +11,7 @@
 from result import Err, Ok
 
 from fennelpoint.system import operator_cli, settings
-from fennelpoint.system.http_server import Web
+from fennelpoint.system.http_server import HttpServer
 from fennelpoint.system.settings_schema import check_settings
 from fennelpoint.testing.core_simulation import World
 
@@ -39,7 +39,7 @@
             asking.answer(reply)
 
     async def serve() -> None:
-        web = Web(loop, take)
+        web = HttpServer(loop, take)
         await web.listen("control_plane", ("127.0.0.1", 0))
         address.append("127.0.0.1:%d" % web.listeners[0].sockets[0].getsockname()[1])   # noqa: UP031
         ready.set()
--- a/tests/system/test_quorum_check.py
+++ b/tests/system/test_quorum_check.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from fennelpoint.system.actions import Send
-from fennelpoint.system.calls import find
-from fennelpoint.system.http_server import Asking
+from fennelpoint.system.calls import find_call
+from fennelpoint.system.http_server import ApiRequest
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.registry.quorum_check import BACKLOG_S, ECHO_VALIDITY_S, PAUSE_THRESHOLD_S, QuorumCheck
 from fennelpoint.system.registry.state_machine import Answer, RegistryStateMachine
@@ -85,8 +85,8 @@
     """The base configuration arrives after the call was answered 503, which promises that it has no effect."""
     registry = RegistryStateMachine("a", "za", "ra", {}, ["a"], 8200, Bounds(), 1.5, 1, True, 0.0)
     registry.tick(0.0)
-    call, _, _ = find("control_plane", "PATCH", "/api/configuration")
-    request = Asking(call, "", {}, b'{"version": 5, "base_version": 3, "upsert": {}, "remove": {}}', None)
+    call, _, _ = find_call("control_plane", "PATCH", "/api/configuration")
+    request = ApiRequest(call, "", {}, b'{"version": 5, "base_version": 3, "upsert": {}, "remove": {}}', None)
     (read_message,) = [a.message for a in registry.on_call(request, 0.1) if isinstance(a, Send)]
     cluster_state = {**empty({"a": "za"}), "rev": 1, "version": 3, "digest": "d"}
     registry.on_message("writ@a", ["newest", read_message[1], cluster_state], 0.2)
--- a/tests/system/test_whose_answer.py
+++ b/tests/system/test_whose_answer.py
@@ -9,8 +9,8 @@
 from fennelpoint.body_buffering import Budget
 from fennelpoint.net.backends import Answer, Exchange
 from fennelpoint.net.controller_host import Asked, Ticket
-from fennelpoint.system.calls import find
-from fennelpoint.system.http_server import Asking, Reply, Visit, Web
+from fennelpoint.system.calls import find_call
+from fennelpoint.system.http_server import ApiRequest, HttpConnection, HttpServer, Reply
 from fennelpoint.system.proxy.controller_host import ProxyBackends, ProxyHost
 
 S = api.Status
@@ -142,13 +142,14 @@
 
 def test_pipelined_calls_of_one_connection_get_their_answers_in_order() -> None:
     async def run() -> None:
-        requests: list[Asking] = []
+        requests: list[ApiRequest] = []
         connection, transport = (
-            Visit(Web(asyncio.get_running_loop(), requests.append), "control_plane"), RecordingTransport())
+            HttpConnection(HttpServer(asyncio.get_running_loop(), requests.append), "control_plane"),
+            RecordingTransport())
         connection.connection_made(transport)
         path = b"/api/evacuation/za HTTP/1.1\r\n"
         connection.data_received(b"POST " + path + b"\r\nDELETE " + path + b"Expect: 100-continue\r\n\r\n")
-        assert [request.call for request in requests] == [find("control_plane", "POST", "/api/evacuation/za")[0]]
+        assert [request.call for request in requests] == [find_call("control_plane", "POST", "/api/evacuation/za")[0]]
         assert not transport.written    # a "100 Continue" now would pass for the answer to the first call
         requests[0].answer(Reply(200, {"first": 1}))
         requests[0].answer(Reply(503))  # ignored: a call is answered once
@@ -156,5 +157,5 @@
         connection.data_received(b"GET /api/status HTTP/1.1\r\n\r\n")
         connection.connection_lost(None)
         requests[1].answer(Reply(200, {"second": 2}))
-        assert requests[1].gone and len(requests) == 2 and b"second" not in transport.written
+        assert requests[1].is_abandoned and len(requests) == 2 and b"second" not in transport.written
     asyncio.run(run())
