--- a/fennelpoint/system/config_schema.py
+++ b/fennelpoint/system/config_schema.py
@@ -1,6 +1,6 @@
-"""Configurations: checked whole by pydantic at the edge, plain inside.
+"""The schema of configurations, as pydantic models that validate a change before it is agreed.
 
-Loaded by a registry when the first change comes; what programs go by is in `config_versions.py`.
+A registry imports this module at the first change; the programs use the plain objects of `config_versions.py`.
 """
 
 from __future__ import annotations
@@ -12,6 +12,8 @@
 
 
 class _Form(BaseModel):
+    """A part of the configuration; unknown fields are ignored."""
+
     model_config = ConfigDict(extra="ignore")
 
 
@@ -48,15 +50,16 @@
     home_regions: list[str] = []
 
     @model_validator(mode="after")
-    def _one(self) -> Action:
+    def _check_service(self) -> Action:
         if self.service is None and not self.traffic_split:
-            raise ValueError("it names no service")
+            raise ValueError("route action names no service")
         return self
 
     @property
-    def shares(self) -> tuple[tuple[str, float], ...]:
+    def split(self) -> tuple[tuple[str, float], ...]:
+        """Services with their weights."""
         if self.traffic_split:
-            return tuple((s.service, s.traffic_weight) for s in self.traffic_split)
+            return tuple((split.service, split.traffic_weight) for split in self.traffic_split)
         return ((self.service, 1.0),)
 
 
@@ -84,7 +87,7 @@
 
 
 class Configuration(_Form):
-    """As the operator sends it."""
+    """A configuration as the operator sends it."""
 
     version: int = Field(gt=0)
     base_version: int = 0
@@ -94,26 +97,26 @@
     clusters: list[Cluster]
 
     @model_validator(mode="after")
-    def _whole(self) -> Configuration:
-        services = {c.name for c in self.clusters}
+    def _check_references(self) -> Configuration:
+        services = {cluster.name for cluster in self.clusters}
         for listener in self.listener_table:
             for rule in listener.rule_set:
-                for service, _ in rule.route_action.shares:
+                for service, _ in rule.route_action.split:
                     if service not in services:
                         raise ValueError(f"route {rule.name}: no service {service}")
-        owners: dict[str, str] = {}
+        tenant_of_key: dict[str, str] = {}
         for tenant in self.tenants:
             for key in tenant.api_keys:
-                if owners.setdefault(key, tenant.name) != tenant.name:
-                    raise ValueError(f"tenants {owners[key]} and {tenant.name} share a key")
+                if tenant_of_key.setdefault(key, tenant.name) != tenant.name:
+                    raise ValueError(f"tenants {tenant_of_key[key]} and {tenant.name} share a key")
         return self
 
 
 def check(value: dict) -> Result[Configuration, Failure]:
-    """The configuration, or the first thing that is wrong with it: field and reason."""
+    """Validates a configuration; the failure names the first invalid field and the reason."""
     try:
         return Ok(Configuration.model_validate(value))
     except ValidationError as error:
         first = error.errors()[0]
-        place = ".".join(map(str, first["loc"])) or "the whole"
-        return Err(Failure("configuration", "", f"{place}: {first['msg']}", 400))
+        field_path = ".".join(map(str, first["loc"])) or "configuration"
+        return Err(Failure("configuration", "", f"{field_path}: {first['msg']}", 400))
--- a/fennelpoint/system/config_versions.py
+++ b/fennelpoint/system/config_versions.py
@@ -1,6 +1,6 @@
-"""Configurations as the programs go by them: plain, of bytes that were checked before they were agreed.
+"""Configuration versions as the programs use them: plain objects, from data that was validated before it was agreed.
 
-`config_schema.py` checks them by pydantic; only a registry that takes a change loads that.
+`config_schema.py` validates configurations with pydantic; only a registry that accepts a change imports it.
 """
 
 from __future__ import annotations
@@ -13,63 +13,65 @@
 
 from fennelpoint.system.failure import Failure
 
-MOST = 1 << 62      # of a version: what goes between processes
+VERSION_LIMIT = 1 << 62     # versions stay below it, so that they fit the messages between processes
 
 
 def decode(body: bytes) -> Result[dict, Failure]:
-    """A JSON object as it came."""
+    """Decodes a JSON object from the body of a request."""
     try:
         value = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return Err(Failure("configuration", "", f"it can't be read: {error}", 400))
+        return Err(Failure("configuration", "", f"invalid JSON: {error}", 400))
     if not isinstance(value, dict):
-        return Err(Failure("configuration", "", "it is no object", 400))
+        return Err(Failure("configuration", "", "not a JSON object", 400))
     return Ok(value)
 
 
-def numbers(value: dict) -> Result[tuple[int, int], Failure]:
-    """Version and the version it builds on."""
+def version_numbers(value: dict) -> Result[tuple[int, int], Failure]:
+    """Returns the version and the version that it is based on."""
     version, base = value.get("version"), value.get("base_version", 0)
-    if type(version) is not int or type(base) is not int or max(abs(version), abs(base)) >= MOST:
-        return Err(Failure("configuration", "", "version and base_version are whole numbers below 2^62", 400))
+    if type(version) is not int or type(base) is not int or max(abs(version), abs(base)) >= VERSION_LIMIT:
+        return Err(Failure("configuration", "", "version and base_version must be integers below 2^62", 400))
     return Ok((version, base))
 
 
-def _by_name(items: list, changed: list, removed: list, name: str = "name") -> list:
-    made = {item[name]: item for item in items}
+def _merge_by_name(items: list, changed: list, removed: list, name: str = "name") -> list:
+    by_name = {item[name]: item for item in items}
     for item in changed:
-        made[item[name]] = item
-    for gone in removed:
-        made.pop(gone, None)
-    return list(made.values())
+        by_name[item[name]] = item
+    for removed_name in removed:
+        by_name.pop(removed_name, None)
+    return list(by_name.values())
 
 
 def merge(base: dict, patch: dict) -> Result[dict, Failure]:
-    """A configuration after a PATCH: items are added, replaced and removed by name."""
+    """Applies a PATCH to a configuration: adds, replaces and removes items by name."""
     try:
         upsert, remove = patch.get("upsert") or {}, patch.get("remove") or {}
-        made = {k: v for k, v in base.items()}
-        made["version"], made["base_version"] = patch["version"], patch.get("base_version", 0)
-        made["tenants"] = _by_name(base.get("tenants", []), upsert.get("tenants", []), remove.get("tenants", []))
-        if not made["tenants"] and "tenants" not in base:
-            del made["tenants"]
-        made["clusters"] = _by_name(base.get("clusters", []), upsert.get("clusters", upsert.get("services", [])),
-                                    [*remove.get("clusters", []), *remove.get("services", [])])
+        merged = {k: v for k, v in base.items()}
+        merged["version"], merged["base_version"] = patch["version"], patch.get("base_version", 0)
+        merged["tenants"] = _merge_by_name(base.get("tenants", []), upsert.get("tenants", []),
+                                           remove.get("tenants", []))
+        if not merged["tenants"] and "tenants" not in base:
+            del merged["tenants"]
+        merged["clusters"] = _merge_by_name(base.get("clusters", []),
+                                            upsert.get("clusters", upsert.get("services", [])),
+                                            [*remove.get("clusters", []), *remove.get("services", [])])
         if "limits" in upsert:
-            made["limits"] = upsert["limits"]
+            merged["limits"] = upsert["limits"]
         changed = [(entry["host"], rule) for entry in upsert.get("listener_table", []) for rule in entry["rule_set"]]
-        gone = {*remove.get("routes", []), *remove.get("rule_set", [])}
-        where = {rule["name"]: host for host, rule in changed}
+        removed_rules = {*remove.get("routes", []), *remove.get("rule_set", [])}
+        new_host = {rule["name"]: host for host, rule in changed}
         replaced = {rule["name"]: rule for _, rule in changed}
         table = []
         for entry in base.get("listener_table", []):
             rules = []
             for rule in entry["rule_set"]:
-                if rule["name"] in gone and rule["name"] not in where:
+                if rule["name"] in removed_rules and rule["name"] not in new_host:
                     continue
-                if rule["name"] in where:
-                    if where[rule["name"]] != entry["host"]:
-                        continue    # it moved to another host
+                if rule["name"] in new_host:
+                    if new_host[rule["name"]] != entry["host"]:
+                        continue    # the rule moves to another host
                     rule = replaced.pop(rule["name"], rule)
                 rules.append(rule)
             table.append({**entry, "rule_set": rules})
@@ -81,97 +83,103 @@
                     hosts[host] = {"host": host, "rule_set": []}
                     table.append(hosts[host])
                 hosts[host]["rule_set"].append(rule)
-        dropped = set(remove.get("listener_table", []))
-        made["listener_table"] = [e for e in table if e["rule_set"] and e["host"] not in dropped]
+        removed_hosts = set(remove.get("listener_table", []))
+        merged["listener_table"] = [entry for entry in table
+                                    if entry["rule_set"] and entry["host"] not in removed_hosts]
     except (KeyError, TypeError, AttributeError) as error:
-        return Err(Failure("configuration", "", f"the change can't be applied: {error!r}", 400))
-    return Ok(made)
+        return Err(Failure("configuration", "", f"the patch cannot be applied: {error!r}", 400))
+    return Ok(merged)
 
 
-def snapshot(value: dict) -> Result[dict, Failure]:
-    """What a snapshot has to hold, but for its configuration, which is checked as any other."""
-    past, evac, held = value.get("past"), value.get("evac"), value.get("configuration")
+def check_snapshot(value: dict) -> Result[dict, Failure]:
+    """Validates a snapshot except its configuration, which is validated as any other."""
+    past, evacuated, configuration = value.get("past"), value.get("evac"), value.get("configuration")
     if value.get("schema") != 1:
-        return Err(Failure("snapshot", "", f"it has schema {value.get('schema')!r}, not 1", 400))
-    if not isinstance(held, dict) or type(value.get("version")) is not int or held.get("version") != value["version"]:
-        return Err(Failure("snapshot", "", "configuration: it is missing, or of another version", 400))
-    if not isinstance(evac, list) or not all(isinstance(zone, str) for zone in evac):
-        return Err(Failure("snapshot", "", "evac: it is no list of zones", 400))
+        return Err(Failure("snapshot", "", f"unsupported schema {value.get('schema')!r}, expected 1", 400))
+    if (not isinstance(configuration, dict) or type(value.get("version")) is not int
+            or configuration.get("version") != value["version"]):
+        return Err(Failure("snapshot", "", "configuration: missing, or of another version", 400))
+    if not isinstance(evacuated, list) or not all(isinstance(zone, str) for zone in evacuated):
+        return Err(Failure("snapshot", "", "evac: not a list of zones", 400))
     if not isinstance(past, list) or not all(
-            isinstance(one, list) and [type(part) for part in one] == [int, str] for one in past):
-        return Err(Failure("snapshot", "", "past: it is no list of changes", 400))
+            isinstance(change, list) and [type(item) for item in change] == [int, str] for change in past):
+        return Err(Failure("snapshot", "", "past: not a list of changes", 400))
     if type(value.get("floor", 0)) is not int:
-        return Err(Failure("snapshot", "", "floor: it is no version", 400))
+        return Err(Failure("snapshot", "", "floor: not a version", 400))
     return Ok(value)
 
 
 def encode(value: dict) -> bytes:
+    """Returns a configuration as compact JSON."""
     return json.dumps(value, separators=(",", ":"), ensure_ascii=False).encode()
 
 
 def digest(data: bytes) -> str:
+    """Returns the digest by which processes name a content."""
     return sha256(data).hexdigest()[:32]
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Times in seconds; `priority` 0 is the highest; no homes: everywhere."""
+    """One route; `priority` 0 is the highest, and without home regions it is served in every region."""
 
     name: str
     services: tuple[tuple[str, float], ...]
-    safe: bool
-    aim: float
-    timeout: float
-    attempts: int
+    is_idempotent: bool
+    target_latency_s: float
+    timeout_s: float
+    max_attempts: int
     priority: int
-    public: bool
-    homes: frozenset[str]
+    is_public: bool
+    home_regions: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class Holder:
-    """A tenant as a front needs it; a rate of 0 is none."""
+class Tenant:
+    """A tenant as a proxy needs it; a rate of 0 means no quota."""
 
     name: str
     priority: int
-    rate: float
-    burst: float
-    homes: frozenset[str]
+    rate_per_s: float
+    burst_size: float
+    home_regions: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Seconds."""
+    """Timeouts of client connections."""
 
-    header_timeout: float
-    idle_timeout: float
+    header_timeout_s: float
+    idle_timeout_s: float
 
 
-class Version:
-    """What a front goes by: routes by host and prefix, tenants by key."""
+class ConfigVersion:
+    """A configuration as a proxy uses it: routes by host and path prefix, tenants by API key."""
 
     def __init__(self, value: dict) -> None:
         limits = value.get("limits") or {}
         self.number = value["version"]
         self.limits = Limits(float(limits.get("header_timeout_s", 3.0)), float(limits.get("idle_timeout_s", 15.0)))
-        self.hosts: dict[str, dict[str, Route]] = {}
-        self.clusters = {c["name"]: (float(c.get("cold_start_s") or 0.0), float(c.get("cold_rate_s") or 0.0))
-                         for c in value["clusters"]}
+        self.routes_by_host: dict[str, dict[str, Route]] = {}
+        # Duration of the cold start (s) and the request rate during it (1/s), by service.
+        self.clusters = {
+            cluster["name"]: (float(cluster.get("cold_start_s") or 0.0), float(cluster.get("cold_rate_s") or 0.0))
+            for cluster in value["clusters"]}
         for listener in value["listener_table"]:
-            table = self.hosts.setdefault(listener["host"].lower(), {})
+            table = self.routes_by_host.setdefault(listener["host"].lower(), {})
             for rule in listener["rule_set"]:
                 table[rule["match_criteria"]["path_prefix"]] = _route(rule)
-        self.tenants, self.keys = [], {}
-        for t in value.get("tenants") or ():
-            holder = Holder(t["name"], int(t.get("route_priority") or 0), float(t.get("rate_per_s") or 0.0),
-                            float(t.get("burst_size") or 0.0), frozenset(t.get("home_regions") or ()))
-            self.tenants.append(holder)
-            self.keys.update(dict.fromkeys(t.get("api_keys") or (), holder))
+        self.tenants, self.tenant_by_key = [], {}
+        for item in value.get("tenants") or ():
+            tenant = Tenant(item["name"], int(item.get("route_priority") or 0), float(item.get("rate_per_s") or 0.0),
+                            float(item.get("burst_size") or 0.0), frozenset(item.get("home_regions") or ()))
+            self.tenants.append(tenant)
+            self.tenant_by_key.update(dict.fromkeys(item.get("api_keys") or (), tenant))
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix of the path at that host."""
+        """Returns the route of the host whose prefix is the longest that matches the path."""
         host = host.lower()
-        table = self.hosts.get(host) or self.hosts.get(host.rpartition(":")[0])
+        table = self.routes_by_host.get(host) or self.routes_by_host.get(host.rpartition(":")[0])
         if table is None:
             return None
         end = len(path)
@@ -182,17 +190,17 @@
 
 
 def _route(rule: dict) -> Route:
-    act = rule["route_action"]
-    if act.get("traffic_split"):
-        services = tuple((s["service"], float(s["traffic_weight"])) for s in act["traffic_split"])
+    action = rule["route_action"]
+    if action.get("traffic_split"):
+        services = tuple((split["service"], float(split["traffic_weight"])) for split in action["traffic_split"])
     else:
-        services = ((act["service"], 1.0),)
+        services = ((action["service"], 1.0),)
     return Route(rule["name"], services, rule["kind"] == "idempotent", float(rule.get("target_latency_s") or 1.0),
-                 float(act["request_timeout_s"]), int(act.get("max_attempts") or 1),
+                 float(action["request_timeout_s"]), int(action.get("max_attempts") or 1),
                  int(rule.get("route_priority") or 0), bool(rule.get("public")),
-                 frozenset(act.get("home_regions") or ()))
+                 frozenset(action.get("home_regions") or ()))
 
 
-def compile_version(data: bytes) -> Version:
-    """From bytes that were checked before they were agreed."""
-    return Version(json.loads(data))
+def compile_version(data: bytes) -> ConfigVersion:
+    """Builds a version from JSON that was validated before it was agreed."""
+    return ConfigVersion(json.loads(data))
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -187,8 +187,8 @@
     def _apply_config(self, number: int, data: bytes) -> None:
         version = compile_version(zlib.decompress(data))
         self.reader.apply_version(version)
-        self.server.idle_timeout = max(5.0, version.limits.idle_timeout)
-        self.server.head_timeout = max(2.5, version.limits.header_timeout)
+        self.server.idle_timeout = max(5.0, version.limits.idle_timeout_s)
+        self.server.head_timeout = max(2.5, version.limits.header_timeout_s)
         self.update_catalogue()
         self._update_shares()
         self._refresh_backends()
@@ -201,8 +201,8 @@
         overshoot, slack = (1.0 + QUOTA_OVERSHOOT_FRACTION * bounds.quota_overshoot,
                             QUOTA_SLACK_FRACTION * bounds.quota_slack)
         plans = [api.Plan("public", 1.0)] + [
-            api.Plan(t.name, 8.0 ** -min(t.priority, 10), t.rate * overshoot,
-                     (t.burst * overshoot + slack) * (t.rate > 0.0))
+            api.Plan(t.name, 8.0 ** -min(t.priority, 10), t.rate_per_s * overshoot,
+                     (t.burst_size * overshoot + slack) * (t.rate_per_s > 0.0))
             for t in self.reader.tenants]
         self.host.post(Catalogue(list(self.reader.request_classes), plans))
         self._update_cells()
--- a/fennelpoint/system/proxy/request_parser.py
+++ b/fennelpoint/system/proxy/request_parser.py
@@ -17,7 +17,7 @@
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.controller_host import Asked
 from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
-from fennelpoint.system.config_versions import Holder, Route, Version
+from fennelpoint.system.config_versions import ConfigVersion, Route, Tenant
 from fennelpoint.system.proxy.queue_timeout import MAX_RETRY_AFTER_S
 
 ATTEMPT_ID = re.compile(rb"[!-~]{1,128}")
@@ -48,16 +48,16 @@
 
     def __init__(self, on_growth: Callable[[], None], random: Random, is_leased: Callable[[], bool]) -> None:
         self.is_leased = is_leased
-        self.version: Version | None = None
+        self.version: ConfigVersion | None = None
         self.classes: dict[tuple, int] = {}
         self.request_classes: list[api.RequestClass] = []
         self.plans: dict[str, int] = {}
-        self.tenants: list[Holder | None] = []
+        self.tenants: list[Tenant | None] = []
         self.cells: dict[str, tuple[str, frozenset[str] | None]] = {}   # service and regions, by name
         self.on_growth, self.random = on_growth, random     # called for a new class or cell, before it is used
         self.request_counts: dict[str, int] = {}    # by tenant, since `take_request_counts`
 
-    def apply_version(self, version: Version) -> None:
+    def apply_version(self, version: ConfigVersion) -> None:
         """Use this version for every request that is read from now on."""
         self.version = version
         for tenant in version.tenants:
@@ -98,10 +98,10 @@
         if route is None:
             raise self._if_leased(Reply(404, body=b"there is no such route\n", bare=is_head))
         tenant = self._tenant(version, route, single_headers.get(b"authorization"), is_head)
-        time_left = min(self._remaining_s(single_headers, route), route.timeout)
+        time_left = min(self._remaining_s(single_headers, route), route.timeout_s)
         lines = [method + b" " + url + b" HTTP/1.1"]
         options -= NEVER_HOP_BY_HOP
-        key_header = b"authorization" if version.keys else b""
+        key_header = b"authorization" if version.tenant_by_key else b""
         lines += [name + b": " + value for name, value in headers
                   if name not in NOT_FORWARDED and name not in options and name != key_header]
         if tenant is not None:
@@ -115,14 +115,15 @@
         if not self.is_leased():
             raise self._not_leased(is_head)
         return ForwardedRequest(attempt_id, self._class_number(route), customer + 1, customer, time_left, 1.0, 1.0,
-                                0.0, False, not route.safe, b"\r\n".join(lines) + b"\r\n", body, is_head, upload,
-                                cell=self._cell_name(route, tenant), attempts=route.attempts)
+                                0.0, False, not route.is_idempotent, b"\r\n".join(lines) + b"\r\n", body, is_head,
+                                upload, cell=self._cell_name(route, tenant), attempts=route.max_attempts)
 
-    def _tenant(self, version: Version, route: Route, authorization: bytes | None, is_head: bool) -> Holder | None:
+    def _tenant(self, version: ConfigVersion, route: Route, authorization: bytes | None,
+                is_head: bool) -> Tenant | None:
         tenant = None
         if authorization is not None and authorization[:6].lower() == SCHEME:
-            tenant = version.keys.get(authorization[6:].strip().decode("latin-1"))
-        if tenant is None and version.keys and not route.public:
+            tenant = version.tenant_by_key.get(authorization[6:].strip().decode("latin-1"))
+        if tenant is None and version.tenant_by_key and not route.is_public:
             raise self._if_leased(Reply(401, ((b"www-authenticate", b"Token"),), b"the key is not known\n", is_head))
         return tenant
 
@@ -139,22 +140,22 @@
         """Seconds that the client still waits; the route's timeout if it does not say."""
         remaining = single_headers.get(b"x-deadline-remaining")
         if remaining is None:
-            return route.timeout
+            return route.timeout_s
         if not remaining.isdigit() or len(remaining) > 9 or not 0 < int(remaining) <= MAX_DEADLINE_MS:
             raise BadRequest("x-deadline-remaining is not a number of milliseconds")
         return int(remaining) / 1000.0
 
     def _class_number(self, route: Route) -> int:
-        key = (route.services[0][0], route.safe, route.aim, route.priority)
+        key = (route.services[0][0], route.is_idempotent, route.target_latency_s, route.priority)
         if (number := self.classes.get(key)) is None:
             number = self.classes[key] = len(self.request_classes)
-            self.request_classes.append(api.RequestClass(f"{route.name}", route.aim, max(route.aim, route.timeout),
-                                                         2.0 ** -min(route.priority, 20),
-                                                         api.Effect.SAFE if route.safe else api.Effect.UNSAFE))
+            self.request_classes.append(api.RequestClass(
+                f"{route.name}", route.target_latency_s, max(route.target_latency_s, route.timeout_s),
+                2.0 ** -min(route.priority, 20), api.Effect.SAFE if route.is_idempotent else api.Effect.UNSAFE))
             self.on_growth()
         return number
 
-    def _cell_name(self, route: Route, tenant: Holder | None) -> str:
+    def _cell_name(self, route: Route, tenant: Tenant | None) -> str:
         """Names the service and the regions that are home to both route and tenant."""
         services = route.services
         if len(services) == 1:
@@ -162,9 +163,9 @@
         else:
             service = self.random.choices([s for s, _ in services], [w for _, w in services])[0] if any(
                 w for _, w in services) else services[0][0]
-        homes = route.homes
-        if tenant is not None and tenant.homes:
-            homes = homes & tenant.homes if homes else tenant.homes
+        homes = route.home_regions
+        if tenant is not None and tenant.home_regions:
+            homes = homes & tenant.home_regions if homes else tenant.home_regions
             if not homes:
                 homes = frozenset(("",))
         cell = service if not homes else f"{service}|{','.join(sorted(homes))}"
--- a/fennelpoint/system/registry/operator_handlers.py
+++ b/fennelpoint/system/registry/operator_handlers.py
@@ -96,7 +96,7 @@
 
     def _call_put(self, request: ApiRequest, now: float) -> None:
         decoded = config_versions.decode(request.body).and_then(
-            lambda value: config_versions.numbers(value).and_then(
+            lambda value: config_versions.version_numbers(value).and_then(
                 lambda versions: _validate(value).map(lambda _: (value, versions))))
         if isinstance(decoded, Err):
             return self.registry.answer(request, error_reply(decoded.err_value.status, str(decoded.err_value)))
@@ -119,7 +119,7 @@
 
     def _call_patch(self, request: ApiRequest, now: float) -> None:
         decoded = config_versions.decode(request.body).and_then(
-            lambda value: config_versions.numbers(value).map(lambda versions: (value, versions)))
+            lambda value: config_versions.version_numbers(value).map(lambda versions: (value, versions)))
         if isinstance(decoded, Err):
             return self.registry.answer(request, error_reply(decoded.err_value.status, str(decoded.err_value)))
         value, (version, base) = decoded.ok_value
@@ -179,7 +179,7 @@
 
     def _call_revive(self, request: ApiRequest, now: float) -> None:
         """Restore a snapshot into a new core; a core that holds any configuration rejects it."""
-        decoded = config_versions.decode(request.body).and_then(config_versions.snapshot)
+        decoded = config_versions.decode(request.body).and_then(config_versions.check_snapshot)
         validated = decoded.and_then(lambda value: _validate(value["configuration"]))
         if isinstance(validated, Err):
             return self.registry.answer(request, error_reply(validated.err_value.status, str(validated.err_value)))
--- a/fennelpoint/system/snapshots.py
+++ b/fennelpoint/system/snapshots.py
@@ -47,4 +47,4 @@
         return Err(Failure("snapshot", path, f"it is torn or no snapshot: {error!r}"))
     if not isinstance(value, dict) or _sum(value) != told:
         return Err(Failure("snapshot", path, "its checksum does not fit"))
-    return config_versions.snapshot(value)
+    return config_versions.check_snapshot(value)
