--- a/fennelpoint/system/__main__.py
+++ b/fennelpoint/system/__main__.py
@@ -22,7 +22,7 @@
 
 from fennelpoint.invariants import violations
 from fennelpoint.system import settings as boot
-from fennelpoint.system.events import Event, say, to_stderr
+from fennelpoint.system.events import Event, log_event, log_to_stderr
 
 WATCH = 2.0     # s between looks at the settings file, which may change without a signal
 
@@ -44,7 +44,7 @@
         seen = _stamp(path)
         read = boot.read(path)
         if isinstance(read, Err):
-            return say(Event.BAD_SETTINGS, reason=read.err_value)
+            return log_event(Event.BAD_SETTINGS, reason=read.err_value)
         program.reload(read.ok_value)
 
     def watch() -> None:
@@ -55,10 +55,10 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, program.stop)
-    violations.report = lambda invariant, detail, count: say(
+    violations.report = lambda invariant, detail, count: log_event(
         Event.VIOLATED, node=settings.node_name, invariant=invariant.name, count=count, detail=detail)
     await program.start()
-    say(Event.START, role=role, node=settings.node_name)
+    log_event(Event.START, role=role, node=settings.node_name)
     loop.call_later(WATCH, watch)
     gc.collect()
     gc.freeze()
@@ -78,12 +78,12 @@
 def main(argv: list[str] | None = None) -> int:
     asked = docopt(__doc__, argv)
     role = next(name for name in ("span", "roll", "writ") if asked[name])
-    to_stderr()
+    log_to_stderr()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = asked["--settings"] or os.environ.get(boot.BOOT, "")
     read = boot.read(path)
     if isinstance(read, Err):
-        say(Event.BAD_SETTINGS, reason=read.err_value)
+        log_event(Event.BAD_SETTINGS, reason=read.err_value)
         return 2
     uvloop.run(serve(role, read.ok_value, path))
     return 0
--- a/fennelpoint/system/actions.py
+++ b/fennelpoint/system/actions.py
@@ -1,4 +1,4 @@
-"""What every decider of the system may ask of its program, besides its own actions."""
+"""Actions that any state machine of the system may return to its program, besides those of its own."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclass(slots=True)
 class Send:
-    """A message to a peer; it may be lost."""
+    """Send a message to a peer; it may be lost."""
 
     to: str
     message: list
 
 
 @dataclass(slots=True)
-class Note:
-    """Something for the log: the event's name and its fields."""
+class LogEvent:
+    """Log an event: the name of the event and its fields."""
 
     event: str
     fields: dict
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Violation:
-    """An invariant that does not hold: to be counted and logged."""
+    """Count and log an invariant that does not hold."""
 
     invariant: Invariant
     detail: str
--- a/fennelpoint/system/failure.py
+++ b/fennelpoint/system/failure.py
@@ -1,4 +1,4 @@
-"""Errors as values: what went wrong, at which step, with which peer."""
+"""Errors as values: the reason, the step that failed, and the peer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """`status` is the HTTP status that tells a caller, where there is one."""
+    """A failed step; `status` is the HTTP status for the caller, where the failure is reported over HTTP."""
 
     step: str
     peer: str
--- a/fennelpoint/system/graceful_shutdown.py
+++ b/fennelpoint/system/graceful_shutdown.py
@@ -1,38 +1,39 @@
-"""How a process of the core leaves: it takes nothing more on, ends what is under way, and goes within a bound."""
+"""Graceful shutdown of a core process: no new work, and an exit in bounded time once the rest is done."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-LINGER = 0.25   # s with nothing under way, in which the last words get to others
-MOST = 2.5      # s after which it goes all the same
-OF_GRACE = 0.4  # of `grace_period_s`, after which it does in any case
+LINGER_S = 0.25     # without work, before the exit: the last messages reach their peers meanwhile
+MAX_SHUTDOWN_S = 2.5    # after which the process exits even with work in progress
+MAX_GRACE_FRACTION = 0.4    # of `grace_period_s`: a lower limit than MAX_SHUTDOWN_S where that period is short
 
 
-def within(grace: float) -> float:
-    """How long leaving may take, in s, by the time between SIGTERM and SIGKILL."""
-    return min(MOST, OF_GRACE * grace)
+def shutdown_timeout(grace_period_s: float) -> float:
+    """Returns how long (s) the shutdown may take, given the time between SIGTERM and SIGKILL."""
+    return min(MAX_SHUTDOWN_S, MAX_GRACE_FRACTION * grace_period_s)
 
 
 @dataclass(slots=True)
-class Leaving:
-    """Begins with SIGTERM; it is true from then on."""
+class GracefulShutdown:
+    """The progress of a shutdown; true once it has begun, with SIGTERM."""
 
-    most: float = MOST
-    since: float | None = None
+    timeout_s: float = MAX_SHUTDOWN_S
+    started_at: float | None = None
     busy_until: float = -1e9
 
     def __bool__(self) -> bool:
-        return self.since is not None
+        return self.started_at is not None
 
     def begin(self, now: float) -> None:
-        self.since = now
-        self.busy(now)
+        self.started_at = now
+        self.mark_busy(now)
 
-    def busy(self, until: float) -> None:
-        """Something is under way, until then at least."""
+    def mark_busy(self, until: float) -> None:
+        """Notes that there is work in progress until this time at least."""
         self.busy_until = max(self.busy_until, until)
 
-    def over(self, now: float) -> bool:
-        """Whether to go now."""
-        return self.since is not None and (now - self.busy_until >= LINGER or now - self.since >= self.most)
+    def is_complete(self, now: float) -> bool:
+        """Whether the process may exit now."""
+        return self.started_at is not None and (
+            now - self.busy_until >= LINGER_S or now - self.started_at >= self.timeout_s)
--- a/fennelpoint/system/incarnation.py
+++ b/fennelpoint/system/incarnation.py
@@ -1,20 +1,21 @@
-"""Numbers of requests that no other life of any process uses.
+"""Request numbers that are unique across the incarnations of all processes.
 
-A process draws its incarnation when it starts, and counts its requests from there: an answer counts only for the
-request whose number it bears.  So one that was meant for a former life of this process, or for another at the same
-address, is nobody's, by whatever way and however late it comes.  No clock tells which life is the later one.
+A process draws a random incarnation when it starts and numbers its requests from there.  A response is accepted only
+for the request whose number it carries, so that a response to an earlier incarnation of this process, or to another
+process at the same address, is ignored, whatever its path and delay.  Incarnations have no order: no clock tells
+which of two is the later one.
 """
 
 from __future__ import annotations
 
-BITS, COUNTED = 40, 22      # of an incarnation; of the requests of one life
+INCARNATION_BITS, COUNTER_BITS = 40, 22
 
 
 def first_number(incarnation: int) -> int:
-    """What a life counts its requests from; nothing that it sends bears this one."""
-    return incarnation % (1 << BITS) << COUNTED
+    """Returns the number from which an incarnation counts its requests; no request has this number itself."""
+    return incarnation % (1 << INCARNATION_BITS) << COUNTER_BITS
 
 
-def same_life(one: int, other: int) -> bool:
-    """Whether two numbers are of one incarnation."""
-    return one >> COUNTED == other >> COUNTED
+def same_incarnation(first: int, second: int) -> bool:
+    """Whether two request numbers belong to one incarnation."""
+    return first >> COUNTER_BITS == second >> COUNTER_BITS
--- a/fennelpoint/system/mesh.py
+++ b/fennelpoint/system/mesh.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 
 from fennelpoint.connecting import connect
-from fennelpoint.system.events import Event, say
+from fennelpoint.system.events import Event, log_event
 from fennelpoint.system.frames import BadFrame, Unpacker, pack
 
 ROLES = ("writ", "roll", "span")     # in the order of their internal ports
@@ -56,7 +56,7 @@
             for message in self.unpacker.feed(data):
                 self.handle_message(message)
         except (BadFrame, IndexError) as error:
-            say(Event.CRASHED, where=f"message from {self.peer}", reason=error)
+            log_event(Event.CRASHED, where=f"message from {self.peer}", reason=error)
             self.transport.abort()
 
     def handle_message(self, message: list) -> None:
@@ -162,7 +162,7 @@
         try:
             self.on_message(peer, message)
         except Exception:   # a defect loses this message, but does not end the process
-            say(Event.CRASHED, where=f"{message[0]} from {peer}", reason=traceback.format_exc(limit=-4))
+            log_event(Event.CRASHED, where=f"{message[0]} from {peer}", reason=traceback.format_exc(limit=-4))
 
     def send(self, peer: str, message: list) -> bool:
         """Sends a message; returns whether there was a connection to write it to."""
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -18,7 +18,7 @@
 from fennelpoint.state import Cut
 from fennelpoint.system.actions import Send
 from fennelpoint.system.config_versions import compile_version
-from fennelpoint.system.events import Event, say
+from fennelpoint.system.events import Event, log_event
 from fennelpoint.system.http_server import ApiRequest, HttpServer, Reply
 from fennelpoint.system.mesh import Mesh
 from fennelpoint.system.proxy.controller import ProxyController
@@ -44,7 +44,7 @@
 )
 from fennelpoint.system.registry.backend_table import DRAINING, GONE
 from fennelpoint.system.settings import Settings, address
-from fennelpoint.system.throttle import Paced
+from fennelpoint.system.throttle import Throttle
 
 TICK_S = 0.05
 SWEEP_INTERVAL_S = 0.25     # between checks of idle connections
@@ -96,7 +96,7 @@
         self.logged_cut: Cut | None = None  # the admission cut that was logged last
         self.evacuated_zones: frozenset = frozenset()
         self.restored_at: dict[str, float] = {}     # by zone: its backends are in cold start for a while
-        self.refresh_throttle = Paced(REFRESH_INTERVAL_S)
+        self.refresh_throttle = Throttle(REFRESH_INTERVAL_S)
         self.refresh_timer: asyncio.TimerHandle | None = None
         self.stopped = loop.create_future()
         self.check_shutdown = Leaving(loop, self.life_cycle, self.server, self.host, self._end).look
@@ -173,11 +173,11 @@
         if has_lease and self.refresh_timer is not None:
             self._run_delayed_refresh()     # requests are accepted from now on, so the list must be current
         if not has_lease:
-            say(Event.LAPSED, node=self.settings.node_name, reason=reason)
+            log_event(Event.LAPSED, node=self.settings.node_name, reason=reason)
         self.host.post(api.Barred(not has_lease))
         if has_lease and not self.life_cycle.listed:
             self.life_cycle.handle(LifeCycleEvent.LISTED, now)
-            say(Event.READY, node=self.settings.node_name)
+            log_event(Event.READY, node=self.settings.node_name)
         elif not self.life_cycle.ending:
             self.life_cycle.handle(LifeCycleEvent.ADMIT if has_lease else LifeCycleEvent.BAR, now)
             self.check_shutdown()
@@ -192,7 +192,7 @@
         self.update_catalogue()
         self._update_shares()
         self._refresh_backends()
-        say(Event.APPLIED, node=self.settings.node_name, version=number)
+        log_event(Event.APPLIED, node=self.settings.node_name, version=number)
 
     def update_catalogue(self) -> None:
         """Post all classes, plans and cells to the controller, after a new version, class or cell."""
@@ -221,12 +221,12 @@
         if self.refresh_throttle.add([BACKEND_LIST], now):
             self._refresh_backends()
         elif self.refresh_timer is None:
-            self.refresh_timer = self.loop.call_later(self.refresh_throttle.wait(now), self._run_delayed_refresh)
+            self.refresh_timer = self.loop.call_later(self.refresh_throttle.delay(now), self._run_delayed_refresh)
 
     def _run_delayed_refresh(self) -> None:
         self.refresh_timer.cancel()
         self.refresh_timer = None
-        self.refresh_throttle.take(time.monotonic())
+        self.refresh_throttle.take_all(time.monotonic())
         self._refresh_backends()
 
     def _refresh_backends(self) -> None:
@@ -290,15 +290,15 @@
     def _log_departures(self) -> None:
         departures = self.host.take_departures()
         if departures.clients:
-            say(Event.CLIENTS_LEFT, node=self.settings.node_name, clients=departures.clients, ended=departures.ended,
-                running=departures.running)
+            log_event(Event.CLIENTS_LEFT, node=self.settings.node_name, clients=departures.clients,
+                      ended=departures.ended, running=departures.running)
 
     def _log_cuts(self) -> None:
         """Log the latest decision of admission control, which decides at most every half second."""
         regulation = self.host.controller.regulation
         previous, self.logged_cut = self.logged_cut, regulation.cut
         if self.logged_cut is None and previous is not None:
-            say(Event.RESTORES, node=self.settings.node_name)
+            log_event(Event.RESTORES, node=self.settings.node_name)
         if self.logged_cut is None or self.logged_cut is previous:
             return
         names = {key: tenant.name for key, tenant in enumerate(self.reader.tenants)}
@@ -306,8 +306,8 @@
                         for c, amount in self.logged_cut.takes)
         failing = ", ".join(names.get(c.key, "public") for c in regulation.active.values()
                             if c.ratio > 1.0 and c.rate <= regulation.own_rate(c, self.host.clock()) + 1e-9)
-        say(Event.CUTS, node=self.settings.node_name, cut=cut or "nobody", failing=failing or "nobody",
-            confidence=f"{regulation.fit.at(regulation.work)[1]:.1f}")
+        log_event(Event.CUTS, node=self.settings.node_name, cut=cut or "nobody", failing=failing or "nobody",
+                  confidence=f"{regulation.fit.at(regulation.work)[1]:.1f}")
 
     def reload(self, settings: Settings) -> None:
         """Use the seeds of a changed settings file."""
@@ -316,7 +316,7 @@
     def stop(self) -> None:
         """Drain and end within the grace period; `stopped` is set at the end."""
         if not self.life_cycle.ending:
-            say(Event.STOP, node=self.settings.node_name)
+            log_event(Event.STOP, node=self.settings.node_name)
             self.life_cycle.handle(LifeCycleEvent.TERM, time.monotonic())
             self.check_shutdown()   # first: a failure to notify the core must not keep this process from ending
             self.session.is_ready = False
--- a/fennelpoint/system/registry/allocation_leader.py
+++ b/fennelpoint/system/registry/allocation_leader.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection
 from typing import Protocol
 
-from fennelpoint.system.actions import Note
+from fennelpoint.system.actions import LogEvent
 from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.registry.allocation_parameters import AllocationParameters, ColdBackends
 from fennelpoint.system.registry.allocator import READ_VALIDITY_S, Allocator
@@ -211,7 +211,7 @@
             return
         self._propose(*change)
         if change[0] == "dismiss":
-            self.registry.actions.append(Note("DISMISSED", {"fronts": ", ".join(change[1][0])}))
+            self.registry.actions.append(LogEvent("DISMISSED", {"fronts": ", ".join(change[1][0])}))
 
     # Grants for proxies
 
@@ -325,4 +325,4 @@
         return self.registry.last_token
 
     def _log(self, event: str, **fields: object) -> None:
-        self.registry.actions.append(Note(event, {"node": self.registry.node_ip, **fields}))
+        self.registry.actions.append(LogEvent(event, {"node": self.registry.node_ip, **fields}))
--- a/fennelpoint/system/registry/directory.py
+++ b/fennelpoint/system/registry/directory.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 
 from fennelpoint.invariants import Invariant
-from fennelpoint.system.actions import Note, Violation
+from fennelpoint.system.actions import LogEvent, Violation
 from fennelpoint.system.registry.membership import Member, Membership
 
 PROXY_FRESH_S = 1.8  # without a request, after which a proxy is not named
@@ -143,7 +143,7 @@
             return self._is_ready(member, now)
         return now - member.unready_since <= self.restart_s
 
-    def notes(self, now: float) -> list[Note]:
+    def notes(self, now: float) -> list[LogEvent]:
         """Return the log events that are due."""
         due = [region for region, counted in self.cross_region.items() if now - counted.since >= LOG_INTERVAL_S]
         return [self._note(region, self.cross_region.pop(region), now) for region in due]
@@ -152,9 +152,9 @@
     def _is_ready(member: Member, now: float) -> bool:
         return member.ready and now - member.last_request_at <= PROXY_FRESH_S
 
-    def _note(self, region: str, counted: CrossRegionAnswers, now: float) -> Note:
+    def _note(self, region: str, counted: CrossRegionAnswers, now: float) -> LogEvent:
         last = counted.last
-        return Note("BEYOND_REGION", {
+        return LogEvent("BEYOND_REGION", {
             "node": self.node, "region": region, "answers": counted.answers, "span": f"{now - counted.since:.1f}",
             "ready": last.ready, "silent": last.silent, "unready": last.unready,
             "age": f"{now - self.started_at:.1f}",
--- a/fennelpoint/system/registry/leader_lease.py
+++ b/fennelpoint/system/registry/leader_lease.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from fennelpoint.system.incarnation import same_life
+from fennelpoint.system.incarnation import same_incarnation
 
 LEASE_S, SAFETY_MARGIN_S = 1.2, 0.15    # lifetime of a grant; time before its end at which the holder stops
 RENEW_INTERVAL_S = 0.3                  # between claims of the holder
@@ -140,7 +140,7 @@
 
         Later claims, and those of another incarnation, stay granted.
         """
-        if self.granted_to == term[1] and same_life(claim, self.granted_claim) and claim >= self.granted_claim:
+        if self.granted_to == term[1] and same_incarnation(claim, self.granted_claim) and claim >= self.granted_claim:
             self.granted_until = min(self.granted_until, now)   # the next machine's rank delay runs from now
         if self.holder == term:
             self.holder_seen_at = now - LEASE_S     # its lease has ended: the next machine's rank delay runs from now
--- a/fennelpoint/system/registry/program.py
+++ b/fennelpoint/system/registry/program.py
@@ -8,10 +8,10 @@
 
 from fennelpoint.invariants import violations
 from fennelpoint.system.actions import Violation
-from fennelpoint.system.events import Event, say
+from fennelpoint.system.events import Event, log_event
 from fennelpoint.system.http_server import ApiRequest, HttpServer, Reply
 from fennelpoint.system.mesh import Mesh, peer_name
-from fennelpoint.system.registry.state_machine import Answer, Note, RegistryStateMachine, Save, Send
+from fennelpoint.system.registry.state_machine import Answer, LogEvent, RegistryStateMachine, Save, Send
 from fennelpoint.system.registry.storage import BackendStorage
 from fennelpoint.system.settings import Settings
 
@@ -63,7 +63,7 @@
         try:
             self.execute(self.registry.on_call(request, time.monotonic()))
         except Exception as error:
-            say(Event.CRASHED, where=request.call.name, reason=repr(error))
+            log_event(Event.CRASHED, where=request.call.name, reason=repr(error))
             request.answer(Reply(503))
 
     def execute(self, actions: list) -> None:
@@ -76,8 +76,8 @@
                     self.storage.save(rows, forgotten_ids)
                 case Answer(request, reply):
                     request.answer(reply)
-                case Note(event, fields):
-                    say(Event[event], **fields)
+                case LogEvent(event, fields):
+                    log_event(Event[event], **fields)
                 case Violation(invariant, detail):
                     violations.record(invariant, detail)
 
--- a/fennelpoint/system/registry/state_machine.py
+++ b/fennelpoint/system/registry/state_machine.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 
 from fennelpoint.system import config_versions
-from fennelpoint.system.actions import Note, Send
-from fennelpoint.system.graceful_shutdown import Leaving, within
+from fennelpoint.system.actions import LogEvent, Send
+from fennelpoint.system.graceful_shutdown import GracefulShutdown, shutdown_timeout
 from fennelpoint.system.http_server import ApiRequest, Reply
 from fennelpoint.system.incarnation import first_number
 from fennelpoint.system.mesh import ip_of, peer_name
@@ -34,7 +34,7 @@
 from fennelpoint.system.registry.quorum_check import QuorumCheck
 from fennelpoint.system.rendezvous_hashing import preference
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.throttle import Paced
+from fennelpoint.system.throttle import Throttle
 
 DIRECTORY_TTL_S = 2.0           # how long clients may cache an answer of the directory
 DRAIN_ACK_TIMEOUT_S = 0.9       # for a majority to store a drain
@@ -76,7 +76,7 @@
         self.next_content_request_at = now      # while the newest configuration is missing here
         self.connected_proxies: dict[str, int] = {}     # with the list number that each has acknowledged
         self.list_number = 0                    # of the newest list update
-        self.pending_changes = Paced(LIST_UPDATE_INTERVAL_S)    # ids whose changes go out in one list update
+        self.pending_changes = Throttle(LIST_UPDATE_INTERVAL_S)    # ids whose changes go out in one list update
         self.full_list: list = []               # cached for proxies that connect
         self.full_list_valid_until = now
         self.pending_calls: dict[int, PendingCall] = {}     # by token
@@ -104,7 +104,7 @@
         self.operator_handlers = OperatorHandlers(self)
         self.directory = Directory(node_ip, self.members, min(DIRECTORY_TTL_S, bounds.ttl_max_s),
                                    bounds.grace_period_s, now)
-        self.leaving = Leaving(within(bounds.grace_period_s))
+        self.leaving = GracefulShutdown(shutdown_timeout(bounds.grace_period_s))
 
     def restore(self, rows: list[list], now: float) -> None:
         """Load the backends that were on disk when this process started."""
@@ -130,9 +130,9 @@
         """On SIGTERM: gossip what only this machine knows and resign from allocation; pending calls may complete."""
         if not self.leaving:
             self.leaving.begin(now)
-            self.actions.append(Note("STOP", {"node": self.node_ip}))
+            self.actions.append(LogEvent("STOP", {"node": self.node_ip}))
             for pending in self.pending_calls.values():
-                pending.deadline = min(pending.deadline, now + PENDING_CALLS_SHUTDOWN_RATIO * self.leaving.most)
+                pending.deadline = min(pending.deadline, now + PENDING_CALLS_SHUTDOWN_RATIO * self.leaving.timeout_s)
             self.allocation.resign()
             self.allocation.tick(now, claims=False)
             self._gossip(now)
@@ -141,8 +141,8 @@
     def is_shutdown_complete(self, now: float) -> bool:
         """Whether the process may exit now."""
         if self.pending_calls:
-            self.leaving.busy(now)
-        return self.leaving.over(now)
+            self.leaving.mark_busy(now)
+        return self.leaving.is_complete(now)
 
     def on_call(self, request: ApiRequest, now: float) -> list:
         """Handle an HTTP call; the reply may come at any later time."""
@@ -209,7 +209,7 @@
             self.send(self.store_peer, ["want", self.cluster_state["digest"]])
         self.allocation.tick(now, claims=not self.leaving)
         self._start_read(now)
-        self._send_changes(self.pending_changes.due(now), now)
+        self._send_changes(self.pending_changes.take_due(now), now)
         if now >= self.next_gossip_at:
             self.next_gossip_at = now + GOSSIP_INTERVAL_S
             self._gossip(now)
@@ -221,17 +221,17 @@
             # many live backends has not arrived by then, and marking them as lost would cause an outage.
             if not self.has_quorum(now):
                 if self.quorum_since is not None:
-                    self.actions.append(Note("CUT_OFF", {"node": self.node_ip}))
+                    self.actions.append(LogEvent("CUT_OFF", {"node": self.node_ip}))
                 self.quorum_since = None
             elif self.quorum_since is None:
                 self.quorum_since = now
-                self.actions.append(Note("IN_TOUCH", {"node": self.node_ip}))
+                self.actions.append(LogEvent("IN_TOUCH", {"node": self.node_ip}))
             elif now - self.quorum_since > 4.0 * self.heartbeat_s:
                 self._query_suspects(now)
                 lost, forgotten = self.backends.sweep(now, self.heartbeat_s)
                 self._publish([b.report.id for b in lost], now)
                 if lost:
-                    self.actions.append(Note("LOST", {"ids": ", ".join(b.report.id for b in lost)}))
+                    self.actions.append(LogEvent("LOST", {"ids": ", ".join(b.report.id for b in lost)}))
                 if forgotten:
                     self.reported_lost_ids.difference_update(forgotten)
                     self.actions.append(Save([], forgotten))
@@ -242,7 +242,7 @@
         if not self.quorum_check.detect_pause(now):
             return
         if self.quorum_since is not None:
-            self.actions.append(Note("CUT_OFF", {"node": self.node_ip}))
+            self.actions.append(LogEvent("CUT_OFF", {"node": self.node_ip}))
         self.quorum_since = None
         self.recently_heard_ids.clear()
         self.lease_requests.clear()
@@ -335,7 +335,7 @@
             self._publish([report.id], now)
         if report.state == DRAINING:
             if changed:
-                self.actions.append(Note("DRAINS", {"id": report.id, "by": "itself"}))
+                self.actions.append(LogEvent("DRAINS", {"id": report.id, "by": "itself"}))
             return self._answer_after_majority(request, [report.id], now, Reply(200, body))
         if changed or was_silent:
             self._replicate([report.id], now, 0)
@@ -350,7 +350,7 @@
             request.segment, "", "", "", 0, "", GONE, 0, 0.0)
         report.state, report.sequence, report.age_s = GONE, report.sequence + 1, 0.0
         if self.backends.merge(report, now):
-            self.actions.append(Note("GONE", {"id": report.id}))
+            self.actions.append(LogEvent("GONE", {"id": report.id}))
             self._publish([report.id], now)
         self._answer_after_majority(request, [report.id], now, Reply(200, {}))
 
@@ -424,7 +424,7 @@
             self.send(peer, ["heard_of", unknown])
         revived = [id for id in heard_ids if self.backends.refresh(id, delay_s, now) or id in self.reported_lost_ids]
         if revived:
-            self.actions.append(Note("FOUND", {"ids": ", ".join(revived)}))
+            self.actions.append(LogEvent("FOUND", {"ids": ", ".join(revived)}))
             self._publish(revived, now)
         if unknown := self.members.merge(full, digests, delay_s, now):
             self.send(peer, ["fronts_of", unknown])
@@ -640,7 +640,7 @@
         if cluster_state is not None:
             self._on_world(peer, now, cluster_state)
         if status not in (200, 503):
-            self.actions.append(Note("REFUSED", {"reason": reason}))
+            self.actions.append(LogEvent("REFUSED", {"reason": reason}))
         if self.allocation.term_request is not None and token == self.allocation.term_request[0]:
             self.allocation.term_numbered(status, cluster_state, now)
             if status == 200:
--- a/fennelpoint/system/registry/storage.py
+++ b/fennelpoint/system/registry/storage.py
@@ -11,7 +11,7 @@
 
 import msgpack
 
-from fennelpoint.system.events import Event, say
+from fennelpoint.system.events import Event, log_event
 
 SCHEMA = 1
 CREATE_TABLES = """
@@ -35,7 +35,7 @@
                 self._open(path)
                 return
             except (sqlite3.Error, OSError, ValueError, TypeError) as error:
-                say(Event.SET_ASIDE, path=path, reason=error)
+                log_event(Event.SET_ASIDE, path=path, reason=error)
                 self._set_aside(path)
 
     def _open(self, path: Path) -> None:
@@ -63,7 +63,7 @@
             if path.exists():
                 path.rename(path.with_suffix(f".bad-{path.stat().st_mtime_ns}"))
         except (OSError, sqlite3.Error) as error:
-            say(Event.DISK, step="set aside", reason=error)
+            log_event(Event.DISK, step="set aside", reason=error)
 
     def save(self, rows: list[list], forgotten_ids: list[str]) -> None:
         """Store these backends and delete the forgotten ones, durably; errors are logged."""
@@ -76,7 +76,7 @@
             self.db.executemany("DELETE FROM backends WHERE id = ?", [(id,) for id in forgotten_ids])
             self.db.execute("COMMIT")
         except sqlite3.Error as error:
-            say(Event.DISK, step="backends", reason=error)
+            log_event(Event.DISK, step="backends", reason=error)
             if self.db.in_transaction:
                 self.db.execute("ROLLBACK")
 
--- a/fennelpoint/system/rendezvous_hashing.py
+++ b/fennelpoint/system/rendezvous_hashing.py
@@ -1,6 +1,7 @@
-"""Whom each of many turns to among equals, so that all of them are used alike (rendezvous hashing).
+"""Rendezvous hashing: each of many clients picks among equal servers, so that the load spreads evenly.
 
-Everyone draws an order of its own, which stays as it is for the others where one comes or goes.
+Every client ranks the servers in an order of its own.  The order of the rest stays the same when one is added or
+removed.
 """
 
 from __future__ import annotations
@@ -8,11 +9,11 @@
 import zlib
 from functools import lru_cache
 
-_MIX, _MASK = 0x9E3779B1, 0xFFFFFFFF  # an odd factor: sums of CRC alone would order all pairs alike
+_MIX, _MASK = 0x9E3779B1, 0xFFFFFFFF  # an odd multiplier: a CRC alone would order all pairs alike, as it is linear
 
 
 @lru_cache(4096)
-def preference(who: str, ip: str) -> int:
-    """The place of a machine in somebody's order: the least is the first."""
-    mixed = zlib.crc32(f"{who}>{ip}".encode()) * _MIX & _MASK
+def preference(client: str, ip: str) -> int:
+    """Returns the rank of a machine for a client; the lowest rank comes first."""
+    mixed = zlib.crc32(f"{client}>{ip}".encode()) * _MIX & _MASK
     return (mixed ^ mixed >> 15) * _MIX & _MASK
--- a/fennelpoint/system/store/program.py
+++ b/fennelpoint/system/store/program.py
@@ -9,11 +9,11 @@
 from random import Random
 
 from fennelpoint.fleet.store import Store as Disk
-from fennelpoint.system.events import Event, say
-from fennelpoint.system.graceful_shutdown import within
+from fennelpoint.system.events import Event, log_event
+from fennelpoint.system.graceful_shutdown import shutdown_timeout
 from fennelpoint.system.mesh import Mesh, ip_of, peer_name
 from fennelpoint.system.settings import Settings
-from fennelpoint.system.store.replica import KEY, ROLL, Note, Save, SaveContent, Send, Store, Whole
+from fennelpoint.system.store.replica import KEY, ROLL, LogEvent, Save, SaveContent, Send, Store, Whole
 
 TICK = 0.02     # s
 
@@ -28,7 +28,7 @@
         self.mesh = Mesh(loop, "writ", me, settings.internal_ports, self.take, self.linked)
         self.store = Store(me, settings.availability_zone, settings.zones, settings.seeds, self.disk.keeper,
                            settings.first_start and me in settings.seeds, self.content, Random(), time.monotonic())
-        self.store.leaving.most = within(settings.rule_bounds.grace_period_s)
+        self.store.leaving.timeout_s = shutdown_timeout(settings.rule_bounds.grace_period_s)
         self.stopped = loop.create_future()
 
     def content(self, digest: str) -> bytes | None:
@@ -64,14 +64,14 @@
                 case Send(to, message):
                     self.mesh.send(peer_name("roll", self.settings.ip_address) if to == ROLL
                                    else peer_name("writ", to), message)
-                case Note(event, fields):
-                    say(Event[event], **fields)
+                case LogEvent(event, fields):
+                    log_event(Event[event], **fields)
                 case Save() | SaveContent():
                     try:
                         self._save(action)
                     except (sqlite3.Error, OSError) as error:
                         if not self.store.ill:
-                            say(Event.DISK, step=type(action).__name__, reason=error)
+                            log_event(Event.DISK, step=type(action).__name__, reason=error)
                         self.disk.undo()
                         self.store.sick(str(error))
                         return
--- a/fennelpoint/system/store/replica.py
+++ b/fennelpoint/system/store/replica.py
@@ -31,9 +31,9 @@
     handle,
     holds,
 )
-from fennelpoint.system.actions import Note, Send
+from fennelpoint.system.actions import LogEvent, Send
 from fennelpoint.system.config_versions import digest as digest_of
-from fennelpoint.system.graceful_shutdown import Leaving
+from fennelpoint.system.graceful_shutdown import GracefulShutdown
 from fennelpoint.system.incarnation import first_number
 from fennelpoint.system.registry.quorum_check import BACKLOG_S, PAUSE_THRESHOLD_S
 from fennelpoint.system.store import idempotency
@@ -97,7 +97,7 @@
     """The disk took all that came before this."""
 
 
-Action = Send | Save | SaveContent | Whole | Note
+Action = Send | Save | SaveContent | Whole | LogEvent
 ROLL = "roll"
 
 
@@ -162,7 +162,7 @@
         self.born = now
         self.up: set[str] = set()   # core machines whose store is connected
         self.watch = Watch(me)
-        self.leaving = Leaving()
+        self.leaving = GracefulShutdown()
         self.seen = self.drained = now  # the newest event; till when what is read may be of before we stood still
         self.ill = ""           # the disk refuses: no word of what it holds until it has taken all of it
         self.mend_at = now
@@ -172,10 +172,10 @@
                 cell = Cell(FOUNDED, FOUNDED, empty({ip: "" for ip in seeds}))
                 self.keeper = Keeper(me, 1, True, {}, {KEY: cell})
                 self.out.append(Save(self.keeper, whole=True))
-                self.out.append(Note("FOUNDED", {"voters": ", ".join(sorted(seeds))}))
+                self.out.append(LogEvent("FOUNDED", {"voters": ", ".join(sorted(seeds))}))
             else:
                 self.rejoin = Rejoin(me, 0, {}, groups_of=groups_of)
-                self.out.append(Note("REJOINING", {"node": me, "peers": ", ".join(sorted(self.peers))}))
+                self.out.append(LogEvent("REJOINING", {"node": me, "peers": ", ".join(sorted(self.peers))}))
         self._members()
 
     # What is known of the members
@@ -201,7 +201,7 @@
         kind, *rest = message
         if peer == ROLL or kind == "hail":
             # The registry here leaves first; whoever lost its disk asks again, and may need our word.
-            self.leaving.busy(now + (REJOIN if kind == "hail" else 0.0))
+            self.leaving.mark_busy(now + (REJOIN if kind == "hail" else 0.0))
         self._expire(now)
         do = getattr(self, f"_on_{kind}", None)
         # Guards what is lost with power: memory is ahead of a disk that refuses, and a majority must not count it.
@@ -279,14 +279,14 @@
         """SIGTERM: rounds under way are ended, and none of our own is begun."""
         if not self.leaving:
             self.leaving.begin(now)
-            self.out.append(Note("STOP", {"node": self.me}))
+            self.out.append(LogEvent("STOP", {"node": self.me}))
         return self._done()
 
     def gone(self, now: float) -> bool:
         """Whether nothing keeps this process any more."""
         if self.jobs:
-            self.leaving.busy(now)
-        return self.leaving.over(now)
+            self.leaving.mark_busy(now)
+        return self.leaving.is_complete(now)
 
     def _woke(self, now: float) -> None:
         if now - self.seen > PAUSE_THRESHOLD_S:
@@ -310,7 +310,7 @@
         """The disk holds all that memory does."""
         if self.ill:
             self.ill = ""
-            self.out.append(Note("DISK_WELL", {"node": self.me}))
+            self.out.append(LogEvent("DISK_WELL", {"node": self.me}))
 
     # As a keeper: what others' rounds ask
 
@@ -460,7 +460,7 @@
         self.keeper, self.rejoin = keeper, None
         self.highest = max(self.highest, cell.promised[0])
         self.out.append(Save(keeper, whole=True))
-        self.out.append(Note("REJOINED", {"node": self.me, "life": keeper.life}))
+        self.out.append(LogEvent("REJOINED", {"node": self.me, "life": keeper.life}))
         self._members()
 
     # Rounds of our own
@@ -646,11 +646,11 @@
         self.highest = max(self.highest, ballot[0])     # who does not vote hears of no other's ballots but here
         if not self.world or world["rev"] > self.world["rev"]:
             if self.world and world["voters"].keys() != self.world["voters"].keys():
-                self.out.append(Note("VOTERS", {"voters": ", ".join(sorted(world["voters"]))}))
+                self.out.append(LogEvent("VOTERS", {"voters": ", ".join(sorted(world["voters"]))}))
             if not self.world or world["version"] != self.world["version"]:
-                self.out.append(Note("DECIDED", {"version": world["version"], "rev": world["rev"]}))
+                self.out.append(LogEvent("DECIDED", {"version": world["version"], "rev": world["rev"]}))
             if self.world and world["evac"] != self.world["evac"]:
-                self.out.append(Note("EVACUATED", {"zones": ", ".join(world["evac"]) or "none"}))
+                self.out.append(LogEvent("EVACUATED", {"zones": ", ".join(world["evac"]) or "none"}))
             if self.world:
                 self.lately.followed(self.world, now)
             self.world, self.at = world, ballot
--- a/fennelpoint/system/throttle.py
+++ b/fennelpoint/system/throttle.py
@@ -1,33 +1,33 @@
-"""Work that is asked for often and done now and then: the first time at once, then no sooner than a pause later."""
+"""Throttling of frequently requested work: the first request runs at once, later ones together after an interval."""
 
 from __future__ import annotations
 
 
-class Paced:
-    """Keys that wait to be dealt with together."""
+class Throttle:
+    """Collects keys whose work is done together, at most once in an interval."""
 
-    def __init__(self, pause: float) -> None:
-        self.pause = pause
+    def __init__(self, interval_s: float) -> None:
+        self.interval_s = interval_s
         self._keys: dict[str, None] = {}
-        self._done_at = -1e9
+        self._last_taken_at = -1e9
 
     def add(self, keys: list[str], now: float) -> list[str]:
-        """Keys to deal with now; none where that is to wait for `due`."""
+        """Adds keys; returns those to process now, or none if they have to wait for `take_due`."""
         self._keys |= dict.fromkeys(keys)
-        return self.due(now)
+        return self.take_due(now)
 
-    def due(self, now: float) -> list[str]:
-        """All that have waited, once the pause is over."""
-        if not self._keys or now - self._done_at < self.pause:
+    def take_due(self, now: float) -> list[str]:
+        """Removes and returns all keys if the interval is over, else none."""
+        if not self._keys or now - self._last_taken_at < self.interval_s:
             return []
-        return self.take(now)
+        return self.take_all(now)
 
-    def take(self, now: float) -> list[str]:
-        """All that have waited, pause or not."""
+    def take_all(self, now: float) -> list[str]:
+        """Removes and returns all keys, even within the interval."""
         keys, self._keys = list(self._keys), {}
-        self._done_at = now
+        self._last_taken_at = now
         return keys
 
-    def wait(self, now: float) -> float:
-        """Seconds until what waits is due."""
-        return max(0.0, self._done_at + self.pause - now)
+    def delay(self, now: float) -> float:
+        """Returns the seconds until waiting keys are due."""
+        return max(0.0, self._last_taken_at + self.interval_s - now)
--- a/fennelpoint/testing/core_simulation.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -209,7 +209,7 @@
                     self._answered(asking, reply)
                 case Violation(invariant, detail):
                     raise Broken(f"{self.now:.2f}: {core.ip}: {invariant.name}: {detail}")
-                case roll.Note("LOST", fields):
+                case roll.LogEvent("LOST", fields):
                     self.losses += [id for id in fields["ids"].split(", ") if self.backends[id].state != "silent"]
 
     def _answered(self, asking: ApiRequest, reply: Reply) -> None:
--- a/tests/system/test_allocation_leader.py
+++ b/tests/system/test_allocation_leader.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from types import SimpleNamespace
 
-from fennelpoint.system.actions import Note, Send
+from fennelpoint.system.actions import LogEvent, Send
 from fennelpoint.system.registry.allocation_leader import AllocationLeader
 from fennelpoint.system.registry.allocation_parameters import ColdBackends
 from fennelpoint.system.registry.backend_table import BackendTable
@@ -52,7 +52,9 @@
 
     def led_terms(self) -> list[int]:
         return [
-            action.fields["term"] for action in self.actions if isinstance(action, Note) and action.event == "LEADS"
+            action.fields["term"]
+            for action in self.actions
+            if isinstance(action, LogEvent) and action.event == "LEADS"
         ]
 
 
--- a/tests/system/test_graceful_shutdown.py
+++ b/tests/system/test_graceful_shutdown.py
@@ -1,9 +1,9 @@
-"""A process of the core that leaves: words, calls, and when it goes."""
+"""Graceful shutdown of a core process: last messages, pending API calls, and the time of the exit."""
 
 from random import Random
 
 from fennelpoint.fleet.register import Keeper
-from fennelpoint.system.graceful_shutdown import LINGER, MOST, within
+from fennelpoint.system.graceful_shutdown import LINGER_S, MAX_SHUTDOWN_S, shutdown_timeout
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store.replica import REJOIN, Store
 from fennelpoint.testing.core_simulation import play
@@ -18,32 +18,34 @@
 """
 
 
-def test_beats_that_it_alone_heard_are_told_and_late_calls_are_sent_on() -> None:
+def test_heartbeats_only_this_machine_received_are_gossiped_and_late_calls_are_refused_with_retry_after() -> None:
     world = play(SITE)
     registry = world.cores["a1"].registry
     registry.recently_heard_ids = {"s1"}
-    told = {a.to: a.message for a in registry.begin_shutdown(world.now) if getattr(a, "message", [""])[0] == "heard"}
-    assert set(told) == {"roll@b1", "roll@c1"} and all(message[1] == ["s1"] for message in told.values())
+    messages = {action.to: action.message for action in registry.begin_shutdown(world.now)
+                if getattr(action, "message", [""])[0] == "heard"}
+    assert set(messages) == {"roll@b1", "roll@c1"} and all(message[1] == ["s1"] for message in messages.values())
     world.call("GET", "/api/status", None, "a1", "late")
-    (asking,) = world.asked["late"]
-    reply = world.replies[id(asking)]
+    (request,) = world.asked["late"]
+    reply = world.replies[id(request)]
     assert reply.status == 503 and ("Retry-After", "0.2") in reply.headers
 
 
-def test_two_and_more_that_leave_at_once_answer_what_waits_and_go_in_time() -> None:
+def test_machines_that_shut_down_at_once_answer_pending_calls_and_exit_in_time() -> None:
     world = play(SITE + "at 4.01 stop a1 b1 c1\n")
     assert world.backends["s1"].acked is None
-    world.run(4.01 + MOST + 0.1)
+    world.run(4.01 + MAX_SHUTDOWN_S + 0.1)
     assert not any(core.up for core in world.cores.values())
-    assert world.backends["s1"].acked is not None       # its drain waited for a majority, and got one
+    assert world.backends["s1"].acked is not None       # its drain needed a majority, and got one
 
 
-def test_a_store_stays_for_one_that_comes_back_but_not_for_ever() -> None:
+def test_a_store_waits_for_a_rejoining_peer_but_exits_after_the_shutdown_timeout() -> None:
     store = Store("a", "za", {"za": "ra"}, list("abc"), Keeper("a", 0, False, {}, {}), True, {}.get, Random(1), 0.0)
     assert not store.gone(9.0)
     store.leave(10.0)
     store.heard("b", ["hail", 1, "b", 0], 10.1)
-    assert not store.gone(10.1 + REJOIN) and store.gone(10.1 + REJOIN + LINGER)
+    assert not store.gone(10.1 + REJOIN) and store.gone(10.1 + REJOIN + LINGER_S)
     for i in range(10):
         store.heard("b", ["hail", 1, "b", 0], 10.3 + i * REJOIN)
-    assert store.gone(10.0 + MOST) and within(Bounds().grace_period_s) < 3.0 and within(2.0) < 1.0
+    assert (store.gone(10.0 + MAX_SHUTDOWN_S) and shutdown_timeout(Bounds().grace_period_s) < 3.0
+            and shutdown_timeout(2.0) < 1.0)
--- a/tests/system/test_incarnations.py
+++ b/tests/system/test_incarnations.py
@@ -10,7 +10,7 @@
 import pytest
 
 from fennelpoint.fleet.register import Cell, Hello, Keeper, handle
-from fennelpoint.system.incarnation import first_number, same_life
+from fennelpoint.system.incarnation import first_number, same_incarnation
 from fennelpoint.system.proxy import core_session
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.session_actions import LeaseChanged
@@ -33,7 +33,7 @@
     if request.param == "planted":
         for module in (state_machine, replica, core_session):
             monkeypatch.setattr(module, "first_number", lambda incarnation: 0)
-        monkeypatch.setattr(leader_lease, "same_life", lambda one, other: True)
+        monkeypatch.setattr(leader_lease, "same_incarnation", lambda one, other: True)
     return request.param == "fenced"
 
 
@@ -41,7 +41,7 @@
     incarnations = [Random(seed).getrandbits(40) for seed in range(1000)]
     starts = sorted(first_number(incarnation) for incarnation in incarnations)
     assert all(b - a >= 1 << 22 for a, b in zip(starts, starts[1:], strict=False)) and starts[-1] < 1 << 63
-    assert same_life(first_number(7) + 1, first_number(7) + 4_000_000) and not same_life(
+    assert same_incarnation(first_number(7) + 1, first_number(7) + 4_000_000) and not same_incarnation(
         first_number(7) + 1, first_number(8) + 1)
 
 
