--- a/fennelpoint/system/__init__.py
+++ b/fennelpoint/system/__init__.py
@@ -1,4 +1,4 @@
-"""The whole load balancer: `span` carries the traffic, `roll` knows who there is, `writ` keeps the configuration.
+"""The whole load balancer: `span` is the proxy, `roll` the registry and `writ` the replicated configuration store.
 
-Design: docs/design/system.md.  Deciders do no I/O: events with the time in, actions out.
+Design: docs/design/system.md.  State machines do no I/O: they take events with the time and return actions.
 """
--- a/fennelpoint/system/__main__.py
+++ b/fennelpoint/system/__main__.py
@@ -1,11 +1,11 @@
-"""The programs of the whole load balancer.
+"""Runs one program of the load balancer: the proxy `span`, the registry `roll` or the configuration store `writ`.
 
 Usage:
   larchwing-system (span | roll | writ) [--settings FILE]
   larchwing-system -h | --help
 
 Options:
-  --settings FILE  the settings file; else the one that LARCHWING_BOOT names
+  --settings FILE  the settings file; by default the one that LARCHWING_BOOT names
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from result import Err
 
 from fennelpoint.invariants import violations
-from fennelpoint.system import settings as boot
+from fennelpoint.system import settings as settings_file
 from fennelpoint.system.events import Event, log_event, log_to_stderr
 
-WATCH = 2.0     # s between looks at the settings file, which may change without a signal
+SETTINGS_POLL_S = 2.0   # the settings file may change without a signal
 
 
-async def serve(role: str, settings: boot.Settings, path: str) -> None:
-    """Run one program until it is told to stop."""
+async def serve(role: str, settings: settings_file.Settings, path: str) -> None:
+    """Runs one program until it has shut down."""
     loop = asyncio.get_running_loop()
     if role == "span":
         from fennelpoint.system.proxy.program import Program
@@ -37,29 +37,29 @@
     else:
         from fennelpoint.system.store.program import Program
     program = Program(loop, settings)
-    seen = _stamp(path)
+    applied_stamp = _file_stamp(path)
 
     def reload() -> None:
-        nonlocal seen
-        seen = _stamp(path)
-        read = boot.read(path)
-        if isinstance(read, Err):
-            return log_event(Event.BAD_SETTINGS, reason=read.err_value)
-        program.reload(read.ok_value)
+        nonlocal applied_stamp
+        applied_stamp = _file_stamp(path)
+        result = settings_file.read(path)
+        if isinstance(result, Err):
+            return log_event(Event.BAD_SETTINGS, reason=result.err_value)
+        program.reload(result.ok_value)
 
     def watch() -> None:
-        loop.call_later(WATCH, watch)
-        if _stamp(path) != seen:
+        loop.call_later(SETTINGS_POLL_S, watch)
+        if _file_stamp(path) != applied_stamp:
             reload()
 
     loop.add_signal_handler(signal.SIGHUP, reload)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, program.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, program.stop)
     violations.report = lambda invariant, detail, count: log_event(
         Event.VIOLATED, node=settings.node_name, invariant=invariant.name, count=count, detail=detail)
     await program.start()
     log_event(Event.START, role=role, node=settings.node_name)
-    loop.call_later(WATCH, watch)
+    loop.call_later(SETTINGS_POLL_S, watch)
     gc.collect()
     gc.freeze()
     gc.set_threshold(10_000, 20, 50)
@@ -67,25 +67,27 @@
     program.close()
 
 
-def _stamp(path: str) -> tuple:
+def _file_stamp(path: str) -> tuple:
+    """Returns what changes with the file; empty without a file."""
     try:
-        held = os.stat(path)
+        stat = os.stat(path)
     except OSError:
         return ()
-    return held.st_mtime_ns, held.st_size, held.st_ino
+    return stat.st_mtime_ns, stat.st_size, stat.st_ino
 
 
 def main(argv: list[str] | None = None) -> int:
-    asked = docopt(__doc__, argv)
-    role = next(name for name in ("span", "roll", "writ") if asked[name])
+    """Runs the command; returns its exit code."""
+    arguments = docopt(__doc__, argv)
+    role = next(name for name in ("span", "roll", "writ") if arguments[name])
     log_to_stderr()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    path = asked["--settings"] or os.environ.get(boot.BOOT, "")
-    read = boot.read(path)
-    if isinstance(read, Err):
-        log_event(Event.BAD_SETTINGS, reason=read.err_value)
+    path = arguments["--settings"] or os.environ.get(settings_file.SETTINGS_VARIABLE, "")
+    result = settings_file.read(path)
+    if isinstance(result, Err):
+        log_event(Event.BAD_SETTINGS, reason=result.err_value)
         return 2
-    uvloop.run(serve(role, read.ok_value, path))
+    uvloop.run(serve(role, result.ok_value, path))
     return 0
 
 
--- a/fennelpoint/system/client.py
+++ b/fennelpoint/system/client.py
@@ -21,7 +21,7 @@
 from result import Err, Ok, Result
 
 from fennelpoint.system.failure import Failure
-from fennelpoint.system.settings import address
+from fennelpoint.system.settings import parse_address
 
 PROMISES = frozenset((408, 421, 429, 503))      # it has not run and never will
 FINAL = frozenset((400, 401, 404, 413, 431))
@@ -211,7 +211,7 @@
             if time.monotonic() < line.until and not line.transport.is_closing():
                 return line
             line.transport.close()
-        host, port = address(at)
+        host, port = parse_address(at)
         async with asyncio.timeout(CONNECT):
             _, line = await asyncio.get_running_loop().create_connection(lambda: _Line(at), host, port)
         return line
--- a/fennelpoint/system/operator_cli.py
+++ b/fennelpoint/system/operator_cli.py
@@ -42,7 +42,7 @@
 from fennelpoint.system import config_versions, explain, snapshots
 from fennelpoint.system.events import Event
 from fennelpoint.system.failure import Failure
-from fennelpoint.system.settings import address
+from fennelpoint.system.settings import parse_address
 
 DONE, UNCLEAR, FAULTY, REFUSED = 0, 1, 2, 3
 WAIT, ROUNDS = 4.0, 3   # s for an answer; times that all core machines are tried
@@ -58,7 +58,7 @@
     while left:
         core = left.pop(0)
         try:
-            host, port = address(core)
+            host, port = parse_address(core)
             connection = http.client.HTTPConnection(host, port, timeout=WAIT)
             connection.request(method, path, body or None, {"Content-Type": "application/json"})
             answer = connection.getresponse()
--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -43,7 +43,7 @@
     UnitsReceived,
 )
 from fennelpoint.system.registry.backend_table import DRAINING, GONE
-from fennelpoint.system.settings import Settings, address
+from fennelpoint.system.settings import Settings, parse_address
 from fennelpoint.system.throttle import Throttle
 
 TICK_S = 0.05
@@ -105,7 +105,7 @@
         """Whether requests may be judged by the configuration in force; records a violation of its age bound."""
         now = time.monotonic()
         is_valid = self.session.has_valid_lease(now)
-        if is_valid and (age := now - self.session.confirmed_at) > self.settings.rule_bounds.newest_within_s:
+        if is_valid and (age := now - self.session.confirmed_at) > self.settings.rule_bounds.max_staleness_s:
             violations.record(Invariant.DECIDED_BY_THE_NEWEST, f"version last confirmed as newest {age:.2f} s ago")
         return is_valid
 
@@ -239,7 +239,7 @@
         for id, backend in session.backends.by_id.items():
             record = backend.report
             try:
-                addresses[id] = address(record.address)
+                addresses[id] = parse_address(record.address)
             except ValueError:
                 continue
             state = api.BackendState.READY
--- a/fennelpoint/system/settings.py
+++ b/fennelpoint/system/settings.py
@@ -1,8 +1,8 @@
-"""The settings file of one process: lines `a.b=value`, read once.
+"""The settings file of one process: lines `a.b=value`.
 
-Times are seconds.  Fields that are not known are ignored; a fault names file, field and reason in one line.  The
-same file is described to operators by the pydantic model of `settings_schema.py`, which `larchwing-system check` goes
-by and a test holds equal to this: a process that starts does not load it (see docs/design/system.md, what gave way).
+Times are in seconds.  Unknown fields are ignored; an error names file, field and reason in one line.  A process does
+not import pydantic at its start (see docs/design/system.md, what gave way); `larchwing-system check` validates the
+same file with the pydantic models of `settings_schema.py`, and a test checks that both accept the same files.
 """
 
 from __future__ import annotations
@@ -17,24 +17,27 @@
 
 from fennelpoint.system.failure import Failure
 
-BOOT = "LARCHWING_BOOT"
+SETTINGS_VARIABLE = "LARCHWING_BOOT"  # environment variable with the path of the file
 Address = tuple[str, int]
-LISTS = ("served_roles", "seed_nodes", "rule_contracts", "internal_ports")
-KEPT_BY_LEASE = ("config_apply_s", "revocation_s", "evacuation_s", "drain_deadline_s")
-CLOCK_RATES = 0.02      # share by which the steady clocks of two machines may differ in speed
-LEAST_LEASE = 0.8       # s: an ask each half second, the core's pause between two reads, and the way there and back
+LIST_FIELDS = ("served_roles", "seed_nodes", "rule_contracts", "internal_ports")
+# Bounds that hold because every proxy needs a lease on the newest configuration.
+LEASE_BOUNDS = ("config_apply_s", "revocation_s", "evacuation_s", "drain_deadline_s")
+MAX_CLOCK_DRIFT = 0.02  # fraction by which the monotonic clocks of two machines may differ in rate
+MIN_LEASE_S = 0.8       # a renewal each half second, the core's interval between two reads, and the round trip
 
 
-def address(text: str) -> Address:
-    """`ip:port` as a pair; raises ValueError."""
+def parse_address(text: str) -> Address:
+    """Returns `ip:port` as a pair; raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"{text!r} is no address")
+        raise ValueError(f"{text!r} is not an address ip:port")
     return host, int(port)
 
 
 @dataclass(frozen=True, slots=True)
 class Listen:
+    """Listen addresses of a process."""
+
     public_http: Address | None = None
     readiness: Address | None = None
     control_plane: Address | None = None
@@ -43,6 +46,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """Resource limits of the machine."""
+
     memory_mb: float = 192.0
     file_descriptors: float = 1024.0
     link_mbps: float = 1000.0
@@ -51,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tolerance:
-    """What may be lost at one time."""
+    """How many machines, zones and regions may fail at one time."""
 
     machine_losses: float = 1.0
     zones: float = 1.0
@@ -60,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures of the rules, in seconds, shares and requests."""
+    """Bounds of the service rules, in seconds, fractions and requests."""
 
     contact_s: float = 4.0
     acknowledge_s: float = 6.0
@@ -83,26 +88,26 @@
     ttl_max_s: float = 5.0
 
     @property
-    def newest_within_s(self) -> float:
-        """Seconds after which nobody may act by what was superseded: the least of the bounds that a lease keeps."""
-        return min(getattr(self, name) for name in KEPT_BY_LEASE)
+    def max_staleness_s(self) -> float:
+        """Seconds after which no proxy may use superseded state: the smallest of the bounds that a lease enforces."""
+        return min(getattr(self, name) for name in LEASE_BOUNDS)
 
     @property
     def lease_s(self) -> float:
-        """Seconds that a front's lease on the newest configuration lasts, from the sending of the ask for it."""
-        return self.newest_within_s * (1.0 - CLOCK_RATES)
+        """Seconds that a proxy's lease on the newest configuration lasts, counted from when it sent the request."""
+        return self.max_staleness_s * (1.0 - MAX_CLOCK_DRIFT)
 
     def check(self) -> None:
-        """Raises ValueError for bounds that can't be kept, with the field that is the cause."""
-        if self.lease_s < LEAST_LEASE:
-            name = min(KEPT_BY_LEASE, key=lambda field: getattr(self, field))
-            least = LEAST_LEASE / (1.0 - CLOCK_RATES)
-            raise ValueError(f"{name}: {getattr(self, name):g} s can't be kept, {least:.2f} s is the least")
+        """Raises ValueError with the field at fault if a lease cannot enforce the bounds."""
+        if self.lease_s < MIN_LEASE_S:
+            name = min(LEASE_BOUNDS, key=lambda field: getattr(self, field))
+            minimum = MIN_LEASE_S / (1.0 - MAX_CLOCK_DRIFT)
+            raise ValueError(f"{name}: {getattr(self, name):g} s is too short, the minimum is {minimum:.2f} s")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one process is told."""
+    """The settings of one process."""
 
     node_name: str
     node_role: str
@@ -122,90 +127,91 @@
 
     @property
     def seeds(self) -> list[str]:
-        """The IP addresses of the core machines that are told."""
+        """The IP addresses of the seed nodes."""
         return [host for host, _ in self.seed_nodes]
 
 
 def parse(text: str) -> dict:
-    """Nested fields of `a.b=value` lines; lists are split at commas.  Raises ValueError."""
-    made: dict = {}
+    """Parses `a.b=value` lines into nested dicts, with lists split at commas; raises ValueError."""
+    values: dict = {}
     for number, line in enumerate(text.splitlines(), 1):
         line = line.strip()
         if not line or line.startswith("#"):
             continue
-        name, found, value = line.partition("=")
-        if not found:
+        name, separator, value = line.partition("=")
+        if not separator:
             raise ValueError(f"line {number} has no '='")
         *path, last = name.strip().split(".")
-        place = made
+        section = values
         for part in path:
-            place = place.setdefault(part, {})
-            if not isinstance(place, dict):
-                raise ValueError(f"line {number}: {part} is a value and a section")
+            section = section.setdefault(part, {})
+            if not isinstance(section, dict):
+                raise ValueError(f"line {number}: {part} is both a value and a section")
         value = value.strip()
-        place[last] = [v for v in value.split(",") if v] if name.strip() in LISTS else value
-    return made
+        section[last] = [item for item in value.split(",") if item] if name.strip() in LIST_FIELDS else value
+    return values
 
 
-def _number(value: object) -> float:
+def _parse_number(value: object) -> float:
     number = float(value)   # type: ignore[arg-type]
     if not 0.0 <= number < inf:
-        raise ValueError(f"{value!r} is not a figure of 0 or more")
+        raise ValueError(f"{value!r} is not a finite number of 0 or more")
     return number
 
 
-def _truth(value: object) -> bool:
+def _parse_bool(value: object) -> bool:
     if value not in ("true", "false"):
         raise ValueError(f"{value!r} is neither true nor false")
     return value == "true"
 
 
-def _text(value: object) -> str:
+def _parse_text(value: object) -> str:
     if not isinstance(value, str) or not value:
-        raise ValueError("it is empty")
+        raise ValueError("must not be empty")
     return value
 
 
-def _ports(value: object) -> tuple[int, int]:
-    first, last = (int(v) for v in value)   # type: ignore[union-attr]
+def _parse_ports(value: object) -> tuple[int, int]:
+    first, last = (int(item) for item in value)   # type: ignore[union-attr]
     if not 0 < first <= last < 65536 or last - first < 2:
-        raise ValueError(f"{first} to {last} are not three ports")
+        raise ValueError(f"{first} to {last} is not a range of at least three ports")
     return first, last
 
 
-def _section(kind: type, value: object, read: Callable[[object], object], place: str) -> object:
+def _build_section(kind: type, value: object, parser: Callable[[object], object], path: str) -> object:
     if not isinstance(value, dict):
-        raise ValueError(f"{place}: it is no section")
-    return kind(**{f.name: _read(read, value[f.name], f"{place}.{f.name}")
+        raise ValueError(f"{path}: not a section")
+    return kind(**{f.name: _parse_field(parser, value[f.name], f"{path}.{f.name}")
                    for f in fields(kind) if f.name in value})
 
 
-def _read(read: Callable[[object], object], value: object, place: str) -> object:
+def _parse_field(parser: Callable[[object], object], value: object, path: str) -> object:
     try:
-        return read(value)
+        return parser(value)
     except (ValueError, TypeError) as error:
-        raise ValueError(f"{place}: {error}") from None
+        raise ValueError(f"{path}: {error}") from None
 
 
 _FIELDS: dict[str, Callable[[object], object]] = {
-    **dict.fromkeys(("node_name", "node_role", "ip_address", "availability_zone", "region", "data_directory"), _text),
-    "zones": lambda v: {str(k): _text(r) for k, r in v.items()}, "internal_ports": _ports,
-    "seed_nodes": lambda v: [address(a) for a in v], "first_start": _truth, "heartbeat_s": _number}
+    **dict.fromkeys(
+        ("node_name", "node_role", "ip_address", "availability_zone", "region", "data_directory"), _parse_text),
+    "zones": lambda v: {str(zone): _parse_text(region) for zone, region in v.items()}, "internal_ports": _parse_ports,
+    "seed_nodes": lambda v: [parse_address(a) for a in v], "first_start": _parse_bool, "heartbeat_s": _parse_number}
 _SECTIONS: dict[str, tuple[type, Callable[[object], object]]] = {
-    "listen_addresses": (Listen, address), "limits": (Limits, _number),
-    "fault_tolerance": (Tolerance, _number), "rule_bounds": (Bounds, _number)}
+    "listen_addresses": (Listen, parse_address), "limits": (Limits, _parse_number),
+    "fault_tolerance": (Tolerance, _parse_number), "rule_bounds": (Bounds, _parse_number)}
 
 
 def build(value: dict) -> Settings:
-    """The settings of nested fields; raises ValueError that names the field."""
-    made = {name: _read(read, value[name], name) for name, read in _FIELDS.items() if name in value}
-    made |= {name: _section(kind, value[name], read, name) for name, (kind, read) in _SECTIONS.items()
-             if name in value}
+    """Builds the settings from nested dicts; raises ValueError that names the field."""
+    values = {name: _parse_field(parser, value[name], name) for name, parser in _FIELDS.items() if name in value}
+    values |= {name: _build_section(kind, value[name], parser, name) for name, (kind, parser) in _SECTIONS.items()
+               if name in value}
     for name in ("node_name", "node_role", "ip_address", "availability_zone", "region", "zones", "internal_ports",
                  "seed_nodes"):
-        if name not in made:
-            raise ValueError(f"{name}: it is missing")
-    settings = Settings(**made)
+        if name not in values:
+            raise ValueError(f"{name}: missing")
+    settings = Settings(**values)
     try:
         settings.rule_bounds.check()
     except ValueError as error:
@@ -214,10 +220,10 @@
 
 
 def read(path: str | None = None) -> Result[Settings, Failure]:
-    """The settings of this process, from the file that the environment names."""
-    path = path or os.environ.get(BOOT)
+    """Reads the settings from a file, by default the one that the environment names."""
+    path = path or os.environ.get(SETTINGS_VARIABLE)
     if not path:
-        return Err(Failure("settings", "", f"{BOOT} names no file"))
+        return Err(Failure("settings", "", f"{SETTINGS_VARIABLE} is not set"))
     try:
         return Ok(build(parse(Path(path).read_text())))
     except (OSError, ValueError) as error:
--- a/fennelpoint/system/settings_schema.py
+++ b/fennelpoint/system/settings_schema.py
@@ -1,6 +1,6 @@
-"""The settings file as a pydantic model: what `larchwing-system check` goes by.
+"""The settings file as pydantic models, with which `larchwing-system check` validates it.
 
-A program that starts reads the same by `settings.py`, without pydantic; a test holds the two equal.
+The programs read the same file with `settings.py`, without pydantic; a test checks that both accept the same files.
 """
 
 from __future__ import annotations
@@ -12,10 +12,12 @@
 from result import Err, Ok, Result
 
 from fennelpoint.system.failure import Failure
-from fennelpoint.system.settings import Bounds, Limits, Tolerance, address, parse
+from fennelpoint.system.settings import Bounds, Limits, Tolerance, parse, parse_address
 
 
 class _Form(BaseModel):
+    """A section of the settings; unknown fields are ignored."""
+
     model_config = ConfigDict(extra="ignore", allow_inf_nan=False)
 
 
@@ -27,30 +29,30 @@
 
     @field_validator("*", mode="before")
     @classmethod
-    def _read(cls, value: object) -> object:
-        return address(value) if isinstance(value, str) else value
+    def _parse_addresses(cls, value: object) -> object:
+        return parse_address(value) if isinstance(value, str) else value
 
 
-def _figures(kind: type) -> type[BaseModel]:
-    """A form of the figures that a program knows: each of 0 or more."""
+def _number_form(kind: type) -> type[BaseModel]:
+    """Returns a form with the fields of a section of `settings.py`, all numbers of 0 or more."""
     return create_model(f"{kind.__name__}Form", __base__=_Form, **{
         f.name: (float, Field(f.default, ge=0)) for f in fields(kind)})
 
 
-LimitsForm, ToleranceForm = _figures(Limits), _figures(Tolerance)
+LimitsForm, ToleranceForm = _number_form(Limits), _number_form(Tolerance)
 
 
-class BoundsForm(_figures(Bounds)):
-    """The figures of the rules, which together must be such that they can be kept."""
+class BoundsForm(_number_form(Bounds)):
+    """Bounds of the service rules; a lease must be able to enforce them together."""
 
     @model_validator(mode="after")
-    def _can_be_kept(self) -> BoundsForm:
+    def _check_lease(self) -> BoundsForm:
         Bounds(**self.model_dump()).check()
         return self
 
 
 class SettingsForm(_Form):
-    """The fields that a program needs, and those with a figure that it goes by."""
+    """All settings that a program uses."""
 
     node_name: str = Field(min_length=1)
     node_role: str = Field(min_length=1)
@@ -70,19 +72,19 @@
 
     @field_validator("seed_nodes", mode="before")
     @classmethod
-    def _seeds(cls, value: object) -> object:
-        return [address(v) if isinstance(v, str) else v for v in value]
+    def _parse_seed_nodes(cls, value: object) -> object:
+        return [parse_address(v) if isinstance(v, str) else v for v in value]
 
     @field_validator("internal_ports")
     @classmethod
-    def _three(cls, value: tuple[int, int]) -> tuple[int, int]:
+    def _check_port_range(cls, value: tuple[int, int]) -> tuple[int, int]:
         if not 0 < value[0] <= value[1] < 65536 or value[1] - value[0] < 2:
-            raise ValueError("they are not three ports")
+            raise ValueError("not a range of at least three ports")
         return value
 
 
 def check_settings(path: str) -> Result[SettingsForm, Failure]:
-    """The settings of a file, or the first thing that is wrong with it: file, field and reason."""
+    """Validates a settings file; the failure names the file, the first invalid field and the reason."""
     try:
         return Ok(SettingsForm.model_validate(parse(Path(path).read_text())))
     except ValidationError as error:
--- a/fennelpoint/system/snapshots.py
+++ b/fennelpoint/system/snapshots.py
@@ -1,4 +1,4 @@
-"""A snapshot of a core as one file: what is agreed, with a checksum; written whole or not at all."""
+"""Snapshots of the agreed state of a core: one file with a checksum, written atomically."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 from fennelpoint.system.failure import Failure
 
 
-def _sum(value: dict) -> str:
+def _checksum(value: dict) -> str:
     return sha256(json.dumps(value, sort_keys=True, separators=(",", ":")).encode()).hexdigest()
 
 
 def write(path: str, value: dict) -> Result[str, Failure]:
-    """On disk, name and all, when it returns; a file that was there is replaced at once or stays."""
-    part = Path(f"{path}.part")
+    """Writes a snapshot and syncs file and directory to disk; an existing file is replaced atomically or kept."""
+    temporary = Path(f"{path}.part")
     try:
-        with part.open("w") as file:
-            json.dump({"sum": _sum(value), "snapshot": value}, file)
+        with temporary.open("w") as file:
+            json.dump({"sum": _checksum(value), "snapshot": value}, file)
             file.flush()
             os.fsync(file.fileno())
-        part.replace(path)
-        folder = os.open(Path(path).parent, os.O_RDONLY)
+        temporary.replace(path)
+        directory = os.open(Path(path).parent, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
     except OSError as error:
         return Err(Failure("snapshot", path, str(error), 0))
     return Ok(path)
 
 
 def read(path: str) -> Result[dict, Failure]:
-    """What a file holds, checked whole."""
+    """Reads and validates a snapshot file."""
     try:
-        held = json.loads(Path(path).read_text())
-        value, told = held["snapshot"], held["sum"]
+        content = json.loads(Path(path).read_text())
+        value, checksum = content["snapshot"], content["sum"]
     except OSError as error:
         return Err(Failure("snapshot", path, str(error)))
     except (ValueError, KeyError, TypeError) as error:
-        return Err(Failure("snapshot", path, f"it is torn or no snapshot: {error!r}"))
-    if not isinstance(value, dict) or _sum(value) != told:
-        return Err(Failure("snapshot", path, "its checksum does not fit"))
+        return Err(Failure("snapshot", path, f"truncated, or not a snapshot: {error!r}"))
+    if not isinstance(value, dict) or _checksum(value) != checksum:
+        return Err(Failure("snapshot", path, "checksum mismatch"))
     return config_versions.check_snapshot(value)
--- a/fennelpoint/testing/core_invariants.py
+++ b/fennelpoint/testing/core_invariants.py
@@ -113,7 +113,7 @@
         world = self.world
         newest = max(world.acked, default=0)
         for front in world.fronts.values():
-            late = front.version < newest and world.now - world.acked[newest] > world.bounds.newest_within_s
+            late = front.version < newest and world.now - world.acked[newest] > world.bounds.max_staleness_s
             if late and world.allows(front):
                 age = world.now - world.acked[newest]
                 raise self._broken(f"{front.ip} goes by {front.version}, {age:.2f} s after {newest} was acked")
--- a/fennelpoint/testing/soak/runner.py
+++ b/fennelpoint/testing/soak/runner.py
@@ -119,7 +119,7 @@
         )
         self.cut: dict[str, set[str]] = {machine: set() for machine in (*CORES, *FRONTS)}
         self.version = 0
-        self.versions = Versions(Bounds().newest_within_s)
+        self.versions = Versions(Bounds().max_staleness_s)
         self.changing = asyncio.Lock()
         self.longest_end = 0.0  # s from a SIGTERM to the end of its process
         self.tasks: list[asyncio.Task] = []
--- a/tests/system/test_lease_bounds.py
+++ b/tests/system/test_lease_bounds.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from result import Err, Ok
 
-from fennelpoint.system.settings import CLOCK_RATES, KEPT_BY_LEASE, LEAST_LEASE, Bounds, read
+from fennelpoint.system.settings import LEASE_BOUNDS, MAX_CLOCK_DRIFT, MIN_LEASE_S, Bounds, read
 from fennelpoint.system.settings_schema import check_settings
 from fennelpoint.testing.core_simulation import World
 
@@ -46,25 +46,25 @@
     assert all(world.allows(front) for front in world.fronts.values())
     world.do("cut fa from core fb fc".split())
     world.do("put 5 on 3 via b1 x".split())
-    world.run(world.now + bounds.newest_within_s)
+    world.run(world.now + bounds.max_staleness_s)
     assert not world.allows(world.fronts["fa"])
     assert world.fronts["fa"].version == 3 and world.fronts["fb"].version == 5
 
 
-@pytest.mark.parametrize("name", KEPT_BY_LEASE)
+@pytest.mark.parametrize("name", LEASE_BOUNDS)
 def test_lease_is_shorter_than_each_bound_by_the_clock_rate_error(name: str) -> None:
     bounds = Bounds(**asdict(Bounds()) | {name: 2.0})
-    assert bounds.lease_s == pytest.approx(2.0 * (1.0 - CLOCK_RATES))
+    assert bounds.lease_s == pytest.approx(2.0 * (1.0 - MAX_CLOCK_DRIFT))
 
 
-@pytest.mark.parametrize("name", KEPT_BY_LEASE)
+@pytest.mark.parametrize("name", LEASE_BOUNDS)
 def test_bounds_that_no_lease_can_keep_are_rejected_with_file_field_and_reason(tmp_path: Path, name: str) -> None:
     path = tmp_path / "settings"
-    path.write_text(f"{SETTINGS_TEXT}rule_bounds.{name}={LEAST_LEASE}\n")
+    path.write_text(f"{SETTINGS_TEXT}rule_bounds.{name}={MIN_LEASE_S}\n")
     for result in (read(str(path)), check_settings(str(path))):
         assert isinstance(result, Err)
         line = str(result.err_value)
-        assert str(path) in line and name in line and "0.8 s can't be kept, 0.82 s is the least" in line
+        assert str(path) in line and name in line and "0.8 s is too short, the minimum is 0.82 s" in line
         assert "\n" not in line
     path.write_text(f"{SETTINGS_TEXT}rule_bounds.{name}=0.9\n")
     assert isinstance(read(str(path)), Ok) and isinstance(check_settings(str(path)), Ok)
