--- a/fennelpoint/system/client.py
+++ b/fennelpoint/system/client.py
@@ -1,10 +1,10 @@
-"""A client of the whole system: finds fronts, keeps to deadlines and promises, and never doubles a write.
+"""Client library of the system: finds proxies, keeps deadlines, and retries without running a write twice.
 
     client = Client(["10.1.0.11:8209"], zone="mapo", region="seoul", key="...")
     answer = await client.request("POST", "bookings.example", "/book/1", b"{}", deadline=2.5, repeatable=False)
 
-What may be sent again is told by the answer: 408, 421, 429 and 503 promise that the request has not run and never
-will; anything else may have run, so only a repeatable request is sent again.  Each try has an id of its own.
+The status decides whether a request may be retried: 408, 421, 429 and 503 promise that it has not run and never will.
+After any other failure it may have run, so only a repeatable request is retried.  Each attempt has its own id.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 from fennelpoint.system.failure import Failure
 from fennelpoint.system.settings import parse_address
 
-PROMISES = frozenset((408, 421, 429, 503))      # it has not run and never will
-FINAL = frozenset((400, 401, 404, 413, 431))
-RESOLVE, CONNECT = 1.0, 1.0     # s for a directory, for a connection
-DIRECTORIES = 3     # that are asked for one answer
-TRIES = 4           # of one request
-HONOURED = 1 / 3    # of the time left, that an advice to wait is followed for at most
-PAUSE = 0.05        # s, at least, before a further try; drawn up to three times that, so that clients spread
-KEPT = 8            # idle connections a front
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))     # the request has not run and never will
+FINAL_STATUSES = frozenset((400, 401, 404, 413, 431))
+RESOLVE_TIMEOUT_S, CONNECT_TIMEOUT_S = 1.0, 1.0
+MAX_DIRECTORIES = 3     # queried in turn for one lookup
+MAX_ATTEMPTS = 4        # of one request
+MAX_RETRY_AFTER_FRACTION = 1 / 3    # of the remaining time: a longer Retry-After is cut to this
+MIN_RETRY_DELAY_S = 0.05    # multiplied by a random factor from 1 to 3, so that retries of many clients spread out
+MAX_IDLE_CONNECTIONS = 8    # to each proxy
 
 
 @dataclass(slots=True)
 class Answer:
-    """`headers` by lower-case name; `tries` is how many it took."""
+    """A response; `headers` are by lower-case name, and `tries` is the number of attempts that were made."""
 
     status: int
     headers: dict[str, str]
@@ -44,14 +44,14 @@
 
 
 @dataclass(eq=False)
-class _Line(asyncio.Protocol):
-    """One connection to one front; one request at a time."""
+class _Connection(asyncio.Protocol):
+    """A connection to one proxy or directory; it carries one request at a time."""
 
-    at: str
+    address: str
     answer: asyncio.Future | None = None
     transport: asyncio.Transport | None = None
-    until: float = 0.0      # idle no longer than this
-    heard: bool = False     # something of the answer has come
+    reusable_until: float = 0.0
+    has_received: bool = False
     body: list[bytes] = field(default_factory=list)
     headers: dict[str, str] = field(default_factory=dict)
 
@@ -59,7 +59,7 @@
         self.transport, self.parser = transport, httptools.HttpResponseParser(self)
 
     def data_received(self, data: bytes) -> None:
-        self.heard = True
+        self.has_received = True
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -80,144 +80,153 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(ConnectionError("the connection ended"))
+            self.answer.set_exception(ConnectionError("connection closed before the response was complete"))
 
 
 class Client:
-    """`directories` are addresses of core machines that serve the directory, near ones first."""
+    """Sends requests to the proxies; `directories` are core machines that serve the directory, the nearest first."""
 
     def __init__(self, directories: list[str], zone: str = "", region: str = "", key: str = "") -> None:
         self.directories, self.zone, self.region, self.key = directories, zone, region, key
-        self.known: dict[str, tuple[list[str], float]] = {}     # fronts by host, and until when
-        self.failed: dict[str, float] = {}                      # fronts that failed, and until when they are left out
-        self.idle: dict[str, list[_Line]] = {}
+        self.resolved: dict[str, tuple[list[str], float]] = {}  # by host: proxies, and until when they are valid
+        self.excluded_until: dict[str, float] = {}      # proxies that failed
+        self.idle: dict[str, list[_Connection]] = {}    # by address
 
     async def request(self, method: str, host: str, path: str, body: bytes = b"", *, deadline: float,
                       repeatable: bool, headers: dict[str, str] | None = None) -> Result[Answer, Failure]:
-        """The answer of a front, or why there is none by the deadline (s from now).
+        """Returns the response of a proxy, or why there is none before the deadline (s from now).
 
-        An answer of any status is Ok: the caller sees what it was told last.  Err tells step and peer; its `status`
-        is 503 where nothing has run, 504 where it may have.
+        A response of any status is Ok: the caller gets the last one that arrived.  Err names the step and the peer;
+        its `status` is 503 if the request has not run, and 504 if it may have.
         """
-        ends, last = time.monotonic() + deadline, Failure("resolve", "", "no front is known", 503)
+        ends_at, failure = time.monotonic() + deadline, Failure("resolve", "", "no proxy is known", 503)
         answer = None
-        for tries in range(1, TRIES + 1):
-            if (left := ends - time.monotonic()) <= 0.0:
+        for attempt in range(1, MAX_ATTEMPTS + 1):
+            if (time_left := ends_at - time.monotonic()) <= 0.0:
                 break
-            fronts = await self._fronts(host)
-            if isinstance(fronts, Err):
-                last = fronts.err_value
-                await self._pause(None, ends)
+            proxies = await self._resolve(host)
+            if isinstance(proxies, Err):
+                failure = proxies.err_value
+                await self._wait_to_retry(None, ends_at)
                 continue
-            at = random.choice(fronts.ok_value)
-            told = await self._try(at, method, host, path, body, left, headers or {})
-            if isinstance(told, Err):
-                last = told.err_value
-                self.failed[at] = time.monotonic() + 1.0
-                if last.status != 503 and not repeatable:
-                    return Err(last)    # it may have run: whoever asked has to find out
-                await self._pause(None, ends)
+            address = random.choice(proxies.ok_value)
+            result = await self._attempt(address, method, host, path, body, time_left, headers or {})
+            if isinstance(result, Err):
+                failure = result.err_value
+                self.excluded_until[address] = time.monotonic() + 1.0
+                if failure.status != 503 and not repeatable:
+                    return Err(failure)     # it may have run: only the caller can find out
+                await self._wait_to_retry(None, ends_at)
                 continue
-            answer = told.ok_value
-            answer.tries = tries
-            again = answer.status in PROMISES or repeatable and answer.status >= 500
-            if answer.status < 300 or answer.status in FINAL or not again:
+            answer = result.ok_value
+            answer.tries = attempt
+            may_retry = answer.status in NOT_EXECUTED_STATUSES or repeatable and answer.status >= 500
+            if answer.status < 300 or answer.status in FINAL_STATUSES or not may_retry:
                 return Ok(answer)
-            await self._pause(answer.headers.get("retry-after"), ends)
-        return Ok(answer) if answer is not None else Err(last)
+            await self._wait_to_retry(answer.headers.get("retry-after"), ends_at)
+        return Ok(answer) if answer is not None else Err(failure)
 
-    async def _pause(self, advice: str | None, ends: float) -> None:
-        left = max(0.0, ends - time.monotonic())
+    async def _wait_to_retry(self, retry_after: str | None, ends_at: float) -> None:
+        """Waits before the next attempt; `retry_after` is the header of the last response."""
+        time_left = max(0.0, ends_at - time.monotonic())
         try:
-            wait = float(advice) if advice else 0.0
+            advised_s = float(retry_after) if retry_after else 0.0
         except ValueError:
-            wait = 0.0
-        await asyncio.sleep(min(left, max(min(wait, HONOURED * left), PAUSE * random.uniform(1.0, 3.0))))
+            advised_s = 0.0
+        await asyncio.sleep(min(time_left, max(min(advised_s, MAX_RETRY_AFTER_FRACTION * time_left),
+                                       MIN_RETRY_DELAY_S * random.uniform(1.0, 3.0))))
 
-    async def _fronts(self, host: str) -> Result[list[str], Failure]:
-        """Fronts for new connections; the last answer goes on while no directory answers."""
+    async def _resolve(self, host: str) -> Result[list[str], Failure]:
+        """Returns proxies for new connections; the last result stays valid while no directory answers."""
         now = time.monotonic()
-        fronts, until = self.known.get(host, ([], 0.0))
-        failure = Failure("resolve", "", "no directory is known", 503)
-        if now >= until:
+        proxies, valid_until = self.resolved.get(host, ([], 0.0))
+        failure = Failure("resolve", "", "no directory is configured", 503)
+        if now >= valid_until:
             query = urlencode({"name": host, "region": self.region, "availability_zone": self.zone})
-            for at in self.directories[:DIRECTORIES]:
-                told = await self._try(at, "GET", at, f"/api/resolve?{query}", b"", RESOLVE, {}, keyed=False)
+            for address in self.directories[:MAX_DIRECTORIES]:
+                result = await self._attempt(address, "GET", address, f"/api/resolve?{query}", b"", RESOLVE_TIMEOUT_S,
+                                             {}, with_key=False)
                 try:
-                    value = json.loads(told.unwrap().body) if isinstance(told, Ok) else {}
-                    fronts, ttl = [str(a) for a in value["addresses"]], float(value["ttl_s"])
+                    value = json.loads(result.unwrap().body) if isinstance(result, Ok) else {}
+                    proxies, ttl_s = [str(proxy) for proxy in value["addresses"]], float(value["ttl_s"])
                 except (ValueError, KeyError, TypeError):
-                    failure = Failure("resolve", at, str(told.err_value) if isinstance(told, Err) else "no addresses")
+                    failure = Failure("resolve", address,
+                                      str(result.err_value) if isinstance(result, Err) else "invalid response")
                     continue
-                self.known[host] = (fronts, now + ttl)
-                self._leave(fronts)
+                self.resolved[host] = (proxies, now + ttl_s)
+                self._close_unlisted(proxies)
                 break
-        good = [at for at in fronts if self.failed.get(at, 0.0) <= now]
-        return Ok(good or fronts) if fronts else Err(failure)
-
-    def _leave(self, fronts: list[str]) -> None:
-        """Close what is idle at fronts that are in no answer any more."""
-        held = {at for addresses, _ in self.known.values() for at in addresses} | set(fronts)
-        for at in [at for at in self.idle if at not in held and at not in self.directories]:
-            for line in self.idle.pop(at):
-                line.transport.close()
-
-    async def _try(self, at: str, method: str, host: str, path: str, body: bytes, left: float,
-                   headers: dict[str, str], keyed: bool = True) -> Result[Answer, Failure]:
-        """One try on one connection; an error's status tells whether it may have run."""
+        usable = [proxy for proxy in proxies if self.excluded_until.get(proxy, 0.0) <= now]
+        return Ok(usable or proxies) if proxies else Err(failure)
+
+    def _close_unlisted(self, proxies: list[str]) -> None:
+        """Closes idle connections to proxies that the directory no longer lists."""
+        listed = {address for addresses, _ in self.resolved.values() for address in addresses} | set(proxies)
+        for address in [
+                address for address in self.idle if address not in listed and address not in self.directories]:
+            for connection in self.idle.pop(address):
+                connection.transport.close()
+
+    async def _attempt(self, address: str, method: str, host: str, path: str, body: bytes, time_left: float,
+                       headers: dict[str, str], with_key: bool = True) -> Result[Answer, Failure]:
+        """Makes one attempt on one connection; the status of a failure says whether the request may have run."""
         try:
-            line = await self._line(at)
+            connection = await self._get_connection(address)
         except (OSError, ValueError, TimeoutError) as error:
-            return Err(Failure("connect", at, str(error) or "it takes too long", 503))
+            return Err(Failure("connect", address, str(error) or "connect timed out", 503))
         fields = {**headers, "Host": host, "X-Attempt-Id": secrets.token_hex(8),
-                  "X-Deadline-Remaining": str(max(1, int(left * 1000)))}
-        if keyed and self.key:
+                  "X-Deadline-Remaining": str(max(1, int(time_left * 1000)))}
+        if with_key and self.key:
             fields["Authorization"] = f"Token {self.key}"
         if body or method not in ("GET", "HEAD"):
             fields["Content-Length"] = str(len(body))
         head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
-        line.answer, line.heard = asyncio.get_running_loop().create_future(), False
-        line.body, line.headers = [], {}
-        line.transport.write(f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode("latin-1") + body)
+        connection.answer, connection.has_received = asyncio.get_running_loop().create_future(), False
+        connection.body, connection.headers = [], {}
+        connection.transport.write(f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode("latin-1") + body)
         try:
-            async with asyncio.timeout(left):
-                answer = await line.answer
+            async with asyncio.timeout(time_left):
+                answer = await connection.answer
         except (OSError, TimeoutError) as error:
-            line.transport.abort()
-            return Err(Failure(f"{method} {path}", at, str(error) or "no answer in time", 504))
+            connection.transport.abort()
+            return Err(Failure(f"{method} {path}", address, str(error) or "no response before the deadline", 504))
         except asyncio.CancelledError:
-            line.transport.abort()  # so that the proxy sees that nobody waits any more
+            connection.transport.abort()  # so that the proxy sees that the client has left
             raise
-        if not line.transport.is_closing():
-            self._keep(line, answer)
+        if not connection.transport.is_closing():
+            self._release(connection, answer)
         return Ok(answer)
 
-    def _keep(self, line: _Line, answer: Answer) -> None:
-        kept = 5.0
-        for part in answer.headers.get("keep-alive", "").split(","):
-            word, _, number = part.strip().partition("=")
-            if word.lower() == "timeout" and number.isdigit():
-                kept = float(number)
-        line.until = time.monotonic() + 0.6 * kept
-        if len(lines := self.idle.setdefault(line.at, [])) < KEPT:
-            lines.append(line)
+    def _release(self, connection: _Connection, answer: Answer) -> None:
+        """Returns a connection to the pool, for less time than the server keeps it open."""
+        keep_alive_s = 5.0
+        for parameter in answer.headers.get("keep-alive", "").split(","):
+            name, _, number = parameter.strip().partition("=")
+            if name.lower() == "timeout" and number.isdigit():
+                keep_alive_s = float(number)
+        connection.reusable_until = time.monotonic() + 0.6 * keep_alive_s
+        if len(connections := self.idle.setdefault(connection.address, [])) < MAX_IDLE_CONNECTIONS:
+            connections.append(connection)
         else:
-            line.transport.close()
-
-    async def _line(self, at: str) -> _Line:
-        lines = self.idle.get(at, [])
-        while lines:
-            line = lines.pop()
-            if time.monotonic() < line.until and not line.transport.is_closing():
-                return line
-            line.transport.close()
-        host, port = parse_address(at)
-        async with asyncio.timeout(CONNECT):
-            _, line = await asyncio.get_running_loop().create_connection(lambda: _Line(at), host, port)
-        return line
+            connection.transport.close()
+
+    async def _get_connection(self, address: str) -> _Connection:
+        """Returns an idle connection to this address, or a new one."""
+        connections = self.idle.get(address, [])
+        while connections:
+            connection = connections.pop()
+            if time.monotonic() < connection.reusable_until and not connection.transport.is_closing():
+                return connection
+            connection.transport.close()
+        host, port = parse_address(address)
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            _, connection = await asyncio.get_running_loop().create_connection(
+                lambda: _Connection(address), host, port)
+        return connection
 
     def close(self) -> None:
-        for lines in self.idle.values():
-            for line in lines:
-                line.transport.close()
+        """Closes all idle connections."""
+        for connections in self.idle.values():
+            for connection in connections:
+                connection.transport.close()
         self.idle.clear()
--- a/tests/system/test_glossary.py
+++ b/tests/system/test_glossary.py
@@ -1,4 +1,4 @@
-"""The glossary names files that exist."""
+"""The files that the glossary names exist."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_each_line_of_the_glossary_names_a_file_that_exists() -> None:
+def test_each_row_of_the_glossary_names_an_existing_file() -> None:
     rows = [line for line in (ROOT / "docs" / "glossary.md").read_text().splitlines() if line.startswith("| ")][2:]
     files = [re.findall(r"`([\w/]+\.py)` \|$", row) for row in rows]
     assert len(rows) > 20 and all(len(found) == 1 for found in files)
