--- a/fennelpoint/system/config_schema.py
+++ b/fennelpoint/system/config_schema.py
@@ -18,6 +18,8 @@
 
 
 class Limits(_Form):
+    """Limits on client connections and requests."""
+
     header_bytes: int = Field(16384, gt=0)
     body_bytes: int = Field(1 << 26, gt=0)
     header_timeout_s: float = Field(3.0, gt=0)
@@ -25,6 +27,8 @@
 
 
 class Tenant(_Form):
+    """A tenant with its API keys, quota and home regions."""
+
     name: str = Field(min_length=1)
     api_keys: list[str] = []
     route_priority: int = 0
@@ -34,15 +38,21 @@
 
 
 class Match(_Form):
+    """The requests that a rule applies to."""
+
     path_prefix: str = Field(pattern="^/")
 
 
 class Split(_Form):
+    """One service of a traffic split, with its weight."""
+
     service: str
     traffic_weight: float = Field(ge=0)
 
 
 class Action(_Form):
+    """Where the requests of a rule are sent, and for how long and how often they are attempted."""
+
     service: str | None = None
     traffic_split: list[Split] = []
     request_timeout_s: float = Field(gt=0)
@@ -64,6 +74,8 @@
 
 
 class Rule(_Form):
+    """One route: the requests that it matches, and what is done with them."""
+
     name: str = Field(min_length=1)
     kind: str
     target_latency_s: float = Field(1.0, gt=0)
@@ -74,11 +86,15 @@
 
 
 class Listener(_Form):
+    """The rules of one host."""
+
     host: str = Field(min_length=1)
     rule_set: list[Rule] = []
 
 
 class Cluster(_Form):
+    """A service that backends belong to, with its health check and cold start."""
+
     name: str = Field(min_length=1)
     health_path: str = "/health"
     connection_limit: int = Field(100, gt=0)
--- a/fennelpoint/system/explain.py
+++ b/fennelpoint/system/explain.py
@@ -84,25 +84,25 @@
                "attempts": action.get("max_attempts", 1), "services": services})
 
 
-def tenant(configuration: dict, parts: dict, name: str) -> Result[dict, Failure]:
+def tenant(configuration: dict, allocation: dict, name: str) -> Result[dict, Failure]:
     """Explains a tenant's quota, and which proxy holds which share of it."""
     item = next((item for item in configuration.get("tenants") or () if item["name"] == name), None)
     if item is None:
         return Err(Failure("explain", name, "no such tenant"))
-    rate, total_shares = item.get("rate_per_s") or 0, parts.get("whole", 1)
+    rate, total_shares = item.get("rate_per_s") or 0, allocation.get("whole", 1)
     proxies = {ip: {"asked_per_s": proxy["asked"].get(name, 0.0),
                     "part": proxy["quotas"].get(name, 0) / total_shares,
                     "rate_per_s": round(rate * proxy["quotas"].get(name, 0) / total_shares, 2)}
-               for ip, proxy in sorted(parts.get("fronts", {}).items())}
+               for ip, proxy in sorted(allocation.get("fronts", {}).items())}
     return Ok({"tenant": name, "priority": item.get("route_priority", 0), "rate_per_s": rate,
                "burst": item.get("burst_size") or 0, "keys": len(item.get("api_keys", ())),
-               "homes": sorted(item.get("home_regions") or ()), "reckoned by": parts.get("node", "nobody"),
-               "term": parts.get("term", 0), "all parts are known": parts.get("settled", False),
+               "homes": sorted(item.get("home_regions") or ()), "reckoned by": allocation.get("node", "nobody"),
+               "term": allocation.get("term", 0), "all parts are known": allocation.get("settled", False),
                "lent": round(sum(proxy["part"] for proxy in proxies.values()), 3), "fronts": proxies,
-               **({"drawn from its pool": pool} if (pool := parts.get("pools", {}).get(name)) is not None else {})})
+               **({"drawn from its pool": pool} if (pool := allocation.get("pools", {}).get(name)) is not None else {})})
 
 
-def backend(configuration: dict, status: dict, parts: dict, id: str) -> Result[dict, Failure]:
+def backend(configuration: dict, status: dict, allocation: dict, id: str) -> Result[dict, Failure]:
     """Explains whether requests are sent to an incarnation of a backend, and if not, why."""
     row = next((row for row in status["backends"] if row[0] == id), None)
     if row is None:
@@ -113,7 +113,7 @@
         (zone in status["evacuated"], f"zone {zone} is evacuated"),
         (service not in {cluster["name"] for cluster in configuration["clusters"]}, f"no service is named {service}"))
                if applies]
-    leased_rates = {ip: proxy["cold"][id] for ip, proxy in sorted(parts.get("fronts", {}).items())
+    leased_rates = {ip: proxy["cold"][id] for ip, proxy in sorted(allocation.get("fronts", {}).items())
                     if id in proxy["cold"]}
     return Ok({"backend": id, "address": address, "service": service, "zone": zone, "slots": slots,
                "version": version, "sequence": sequence, "heard_s_ago": age, "cold_for_s": cold_for_s,
--- a/fennelpoint/system/http_server.py
+++ b/fennelpoint/system/http_server.py
@@ -194,5 +194,6 @@
             lambda: HttpConnection(self, listener), *address, backlog=256, reuse_address=True))
 
     def close(self) -> None:
+        """Stops listening; open connections stay."""
         for listener in self.listeners:
             listener.close()
--- a/fennelpoint/system/mesh.py
+++ b/fennelpoint/system/mesh.py
@@ -101,9 +101,11 @@
         self.listener: asyncio.Server | None = None
 
     def port(self, role: str) -> int:
+        """Returns the internal port of a role."""
         return self.ports[0] + ROLES.index(role)
 
     async def start(self) -> None:
+        """Starts to listen for peers and to ping them."""
         self.listener = await self.loop.create_server(
             lambda: PeerConnection(self), self.ip, self.port(self.role), backlog=256, reuse_address=True)
         self.loop.call_later(PING_INTERVAL_S, self._ping)
@@ -145,12 +147,14 @@
                 await asyncio.sleep(0.1)
 
     def connection_up(self, connection: PeerConnection) -> None:
+        """Registers a connection whose peer is known."""
         connections = self.connections_by_peer.setdefault(connection.peer, [])
         (connections.insert(0, connection) if connection.dialled or not any(other.dialled for other in connections)
          else connections.append(connection))
         self.on_peer_change(connection.peer, True)
 
     def connection_down(self, connection: PeerConnection) -> None:
+        """Removes a connection that is lost."""
         connections = self.connections_by_peer.get(connection.peer, [])
         if connection in connections:
             connections.remove(connection)
@@ -159,6 +163,7 @@
                 self.on_peer_change(connection.peer, False)
 
     def handle_message(self, peer: str, message: list) -> None:
+        """Passes a message on to `on_message`."""
         try:
             self.on_message(peer, message)
         except Exception:   # a defect loses this message, but does not end the process
@@ -185,6 +190,7 @@
                 connection.transport.write(_PING_FRAME)
 
     def close(self) -> None:
+        """Stops dialling and listening, and aborts all connections."""
         for task in self.dial_tasks.values():
             task.cancel()
         if self.listener is not None:
--- a/fennelpoint/system/settings_schema.py
+++ b/fennelpoint/system/settings_schema.py
@@ -22,6 +22,8 @@
 
 
 class ListenForm(_Form):
+    """Listen addresses of a process."""
+
     public_http: tuple[str, int] | None = None
     readiness: tuple[str, int] | None = None
     control_plane: tuple[str, int] | None = None
--- a/fennelpoint/testing/core_simulation.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelpoint.fleet.register import Keeper
+from fennelpoint.fleet.register import Acceptor
 from fennelpoint.fleet.store import making_room
 from fennelpoint.system.actions import Send, Violation
 from fennelpoint.system.frames import Unpacker, pack
@@ -26,7 +26,7 @@
 from fennelpoint.system.registry.state_machine import RegistryStateMachine
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store import replica as writ
-from fennelpoint.system.store.replica import Store
+from fennelpoint.system.store.replica import Replica
 from fennelpoint.testing.core_calls import STEP, OutsideCalls
 from fennelpoint.testing.core_invariants import CoreRules
 from fennelpoint.testing.core_machines import Backend, Broken, Core, Front
@@ -100,8 +100,8 @@
         regions = {c.zone: c.region for c in [*self.cores.values(), *self.fronts.values()]}
         core = self.cores[ip]
         if role == "writ":
-            keeper = core.disk or Keeper(ip, 0, False, {}, {})
-            core.store = Store(ip, core.zone, regions, self.seeds, keeper, first and ip in self.seeds,
+            keeper = core.disk or Acceptor(ip, 0, False, {}, {})
+            core.store = Replica(ip, core.zone, regions, self.seeds, keeper, first and ip in self.seeds,
                                core.contents.get, Random(self.random.random()), self.now)
         else:
             core.registry = RegistryStateMachine(
@@ -172,8 +172,8 @@
     def _deliver(self, source: str, to: str, message: list) -> None:
         role, ip = to.split("@")
         if role == "writ":
-            whose = writ.ROLL if source.startswith("roll@") else ip_of(source)
-            self._writ(self.cores[ip], self.cores[ip].store.heard(whose, message, self.now))
+            whose = writ.REGISTRY if source.startswith("roll@") else ip_of(source)
+            self._writ(self.cores[ip], self.cores[ip].store.receive(whose, message, self.now))
         elif role == "roll":
             self._roll(self.cores[ip], self.cores[ip].registry.on_message(source, message, self.now))
         elif self.links.get((to, source), (False, 0.0))[0] or source.startswith("span@"):
@@ -182,13 +182,16 @@
     def _writ(self, core: Core, actions: list) -> None:
         for action in actions:
             if core.full and isinstance(action, writ.Save | writ.SaveContent):
-                return core.store.sick("the disk is full")
+                return core.store.disk_failed("the disk is full")
             match action:
-                case writ.Whole():
-                    core.store.well()
+                case writ.DiskSynced():
+                    core.store.disk_recovered()
                 case writ.Send(to, message):
-                    self.send(peer_name("writ", core.ip), peer_name("roll", core.ip) if to == writ.ROLL
-                              else peer_name("writ", to), message)
+                    self.send(
+                        peer_name("writ", core.ip),
+                        peer_name("roll", core.ip) if to == writ.REGISTRY else peer_name("writ", to),
+                        message,
+                    )
                 case writ.Save(keeper):
                     core.disk = keeper
                 case writ.SaveContent(digest, data, needed):
@@ -275,7 +278,7 @@
             if not machine.registry_gone:
                 self._roll(machine, machine.registry.tick(self.now))
                 machine.registry_gone = machine.registry.is_shutdown_complete(self.now)
-            if machine.registry_gone and machine.store.gone(self.now):
+            if machine.registry_gone and machine.store.can_exit(self.now):
                 self.kill(ip)
         elif machine.up:
             self._span(machine, machine.session.tick(self.now))
@@ -352,7 +355,7 @@
         if role == "roll":
             self._roll(self.cores[ip], self.cores[ip].registry.on_link(other, up, self.now))
         elif role == "writ":
-            self._writ(self.cores[ip], self.cores[ip].store.linked(ip_of(other), up, self.now))
+            self._writ(self.cores[ip], self.cores[ip].store.connection_changed(ip_of(other), up, self.now))
         elif role == "span":
             self._span(self.fronts[ip], self.fronts[ip].session.handle_connection(other, up, self.now))
 
--- a/tests/system/test_admission.py
+++ b/tests/system/test_admission.py
@@ -3,7 +3,7 @@
 import pytest
 
 from fennelpoint import interface as api
-from fennelpoint.regulation import FULL_STEP, PERIOD, STEP
+from fennelpoint.regulation import FULL_STEP, PERIOD_S, STEP
 from fennelpoint.system.proxy.controller import ProxyController
 from fennelpoint.system.proxy.events import BackendPlacement, Catalogue, LeasedShares
 from fennelpoint.system.registry.allocator import Allocator
@@ -116,11 +116,11 @@
 
 def test_when_a_tenant_fails_the_lucky_one_is_cut_until_none_fails() -> None:
     proxy = SimulatedProxy()
-    proxy.controller.quotas.own_rate = lambda c, now: 3.0 if c.key == 2 else 10.0   # t2 is over its quota
-    proxy.controller.regulation.own_rate = proxy.controller.quotas.own_rate
+    proxy.controller.quotas.local_rate = lambda c, now: 3.0 if c.key == 2 else 10.0   # t2 is over its quota
+    proxy.controller.regulation.local_rate = proxy.controller.quotas.local_rate
     proxy.run(3.0, {0: 5.0, 2: 8.0}, {0: 0.9, 2: 0.05})
     cut = proxy.regulation.cut
-    assert proxy.regulation.pressed and [c.key for c, _ in cut.takes] == [2]
+    assert proxy.regulation.is_overloaded and [c.key for c, _ in cut.takes] == [2]
     assert proxy.controller.customers[2].cap < 8.0 and proxy.controller.customers[0].cap is None
     proxy.run(8.0, {0: 5.0, 2: 8.0}, {0: 0.05, 2: 0.05})
     assert proxy.regulation.cut is None and proxy.controller.customers[2].cap is None
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("is_confident", [False, True])
 def test_steps_are_constant_without_a_confident_fit_and_longer_with_one(is_confident: bool) -> None:
     proxy = SimulatedProxy()
-    proxy.controller.regulation.own_rate = lambda c, now: 3.0 if c.key == 2 else 10.0
+    proxy.controller.regulation.local_rate = lambda c, now: 3.0 if c.key == 2 else 10.0
     for i in range(30 if is_confident else 0):
         proxy.regulation.fit.add(1.0 + i % 5, 0.2 + 0.02 * (i % 5), 0.98)
     proxy.run(3.1, {0: 5.0, 2: 8.0}, {0: 0.9, 2: 0.05})
@@ -153,4 +153,4 @@
         for proxy in proxies:    # without demand: even shares again
             grant = allocator.request_grant(proxy, 1, "ra", newest, {}, None, {"t": 20.0}, {}, now)
             shares[proxy] = grant.quotas.get("t", 0)
-    assert all(280 < share < 380 for share in shares.values()) and PERIOD == 0.5
+    assert all(280 < share < 380 for share in shares.values()) and PERIOD_S == 0.5
--- a/tests/system/test_core_failover.py
+++ b/tests/system/test_core_failover.py
@@ -27,7 +27,7 @@
 
 def cut_off_a_minority(world: World) -> list[str]:
     """Partitions two voters and three other core machines from the rest, and returns the rest; proxies reach all."""
-    voters = sorted(world.cores["c00"].store.world["voters"])
+    voters = sorted(world.cores["c00"].store.state["voters"])
     others = sorted(world.cores.keys() - set(voters))
     minority = world.random.sample(voters, 2) + world.random.sample(others, CUT_OFF - 2)
     rest = [ip for ip in world.cores if ip not in minority]
--- a/tests/system/test_graceful_shutdown.py
+++ b/tests/system/test_graceful_shutdown.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-from fennelpoint.fleet.register import Keeper
+from fennelpoint.fleet.register import Acceptor
 from fennelpoint.system.graceful_shutdown import LINGER_S, MAX_SHUTDOWN_S, shutdown_timeout
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.store.replica import REJOIN, Store
+from fennelpoint.system.store.replica import REJOIN_RETRY_S, Replica
 from fennelpoint.testing.core_simulation import play
 
 SITE = """
@@ -39,13 +39,14 @@
     assert world.backends["s1"].acked is not None       # its drain needed a majority, and got one
 
 
-def test_a_store_waits_for_a_rejoining_peer_but_exits_after_the_shutdown_timeout() -> None:
-    store = Store("a", "za", {"za": "ra"}, list("abc"), Keeper("a", 0, False, {}, {}), True, {}.get, Random(1), 0.0)
-    assert not store.gone(9.0)
+def test_a_replica_waits_for_a_rejoining_peer_but_exits_after_the_shutdown_timeout() -> None:
+    store = Replica("a", "za", {"za": "ra"}, list("abc"), Acceptor("a", 0, False, {}, {}), True, {}.get,
+                    Random(1), 0.0)
+    assert not store.can_exit(9.0)
     store.leave(10.0)
-    store.heard("b", ["hail", 1, "b", 0], 10.1)
-    assert not store.gone(10.1 + REJOIN) and store.gone(10.1 + REJOIN + LINGER_S)
+    store.receive("b", ["hail", 1, "b", 0], 10.1)
+    assert not store.can_exit(10.1 + REJOIN_RETRY_S) and store.can_exit(10.1 + REJOIN_RETRY_S + LINGER_S)
     for i in range(10):
-        store.heard("b", ["hail", 1, "b", 0], 10.3 + i * REJOIN)
-    assert (store.gone(10.0 + MAX_SHUTDOWN_S) and shutdown_timeout(Bounds().grace_period_s) < 3.0
+        store.receive("b", ["hail", 1, "b", 0], 10.3 + i * REJOIN_RETRY_S)
+    assert (store.can_exit(10.0 + MAX_SHUTDOWN_S) and shutdown_timeout(Bounds().grace_period_s) < 3.0
             and shutdown_timeout(2.0) < 1.0)
--- a/tests/system/test_mesh.py
+++ b/tests/system/test_mesh.py
@@ -24,7 +24,7 @@
     return meshes, received
 
 
-async def wait_until(condition: Callable) -> None:
+async def wait_until(condition) -> None:
     async with asyncio.timeout(5.0):
         while not condition():
             await asyncio.sleep(0.01)
--- a/tests/system/test_operator_cli.py
+++ b/tests/system/test_operator_cli.py
@@ -124,7 +124,7 @@
     file.write_text(json.dumps(configuration(4, 3)))
     assert run("apply", str(file), "--core", core) == operator_cli.EXIT_OK
     assert run("revive", str(saved), "--core", core) == operator_cli.EXIT_REFUSED
-    assert "the core lives" in capsys.readouterr().err
+    assert "the core is in use" in capsys.readouterr().err
     state = json.loads(saved.read_text())
     state["snapshot"]["version"] = 9
     saved.write_text(json.dumps(state))
--- a/tests/system/test_quorum_check.py
+++ b/tests/system/test_quorum_check.py
@@ -14,7 +14,7 @@
 from fennelpoint.system.registry.quorum_check import BACKLOG_S, ECHO_VALIDITY_S, PAUSE_THRESHOLD_S, QuorumCheck
 from fennelpoint.system.registry.state_machine import Answer, RegistryStateMachine
 from fennelpoint.system.settings import Bounds
-from fennelpoint.system.store.replicated_state import empty
+from fennelpoint.system.store.replicated_state import initial_state
 from fennelpoint.testing.core_machines import Broken
 from fennelpoint.testing.core_simulation import play
 
@@ -88,7 +88,7 @@
     call, _, _ = find_call("control_plane", "PATCH", "/api/configuration")
     request = ApiRequest(call, "", {}, b'{"version": 5, "base_version": 3, "upsert": {}, "remove": {}}', None)
     (read_message,) = [a.message for a in registry.on_call(request, 0.1) if isinstance(a, Send)]
-    cluster_state = {**empty({"a": "za"}), "rev": 1, "version": 3, "digest": "d"}
+    cluster_state = {**initial_state({"a": "za"}), "rev": 1, "version": 3, "digest": "d"}
     registry.on_message("writ@a", ["newest", read_message[1], cluster_state], 0.2)
     actions = [action for tick in range(1, 80) for action in registry.tick(0.2 + tick * 0.05)]
     assert [a.reply.status for a in actions if isinstance(a, Answer)] == [503]
