--- a/fennelpoint/system/explain.py
+++ b/fennelpoint/system/explain.py
@@ -99,7 +99,8 @@
                "homes": sorted(item.get("home_regions") or ()), "reckoned by": allocation.get("node", "nobody"),
                "term": allocation.get("term", 0), "all parts are known": allocation.get("settled", False),
                "lent": round(sum(proxy["part"] for proxy in proxies.values()), 3), "fronts": proxies,
-               **({"drawn from its pool": pool} if (pool := allocation.get("pools", {}).get(name)) is not None else {})})
+               **({"drawn from its pool": pool}
+                  if (pool := allocation.get("pools", {}).get(name)) is not None else {})})
 
 
 def backend(configuration: dict, status: dict, allocation: dict, id: str) -> Result[dict, Failure]:
