--- a/fennelpoint/net/flow_control.py
+++ b/fennelpoint/net/flow_control.py
@@ -9,9 +9,9 @@
 
 import asyncio
 
-from fennelpoint.body_buffering import READ, Budget
+from fennelpoint.body_buffering import READ_BYTES, Budget
 
-_read_buffer = bytearray(READ)   # shared: filled and emptied within one turn of the loop
+_read_buffer = bytearray(READ_BYTES)   # shared: filled and emptied within one turn of the loop
 _read_view = memoryview(_read_buffer)
 
 
@@ -45,7 +45,7 @@
         self.pause_writing, self.resume_writing = connection.pause_writing, connection.resume_writing
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return _read_view[:self.connection.budget.read]
+        return _read_view[:self.connection.budget.read_bytes]
 
     def buffer_updated(self, count: int) -> None:
         self.connection.data_received(bytes(_read_view[:count]))
--- a/fennelpoint/net/graceful_shutdown.py
+++ b/fennelpoint/net/graceful_shutdown.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from fennelpoint.lifecycle import LifeCycle, Step
-from fennelpoint.net.controller_host import Host
+from fennelpoint.net.controller_host import ControllerHost
 from fennelpoint.net.server import Server
 
 POLL_INTERVAL_S = 0.05  # between checks of a drain or shutdown in progress
@@ -19,7 +19,7 @@
     `on_exit` is called once every request is answered and the answers are written, or the time for that is up.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, lifecycle: LifeCycle, server: Server, host: Host,
+    def __init__(self, loop: asyncio.AbstractEventLoop, lifecycle: LifeCycle, server: Server, host: ControllerHost,
                  on_exit: Callable[[], None]) -> None:
         self.loop, self.lifecycle, self.server, self.host, self.on_exit = loop, lifecycle, server, host, on_exit
         self.is_polling = False
@@ -30,9 +30,9 @@
             self._check()
 
     def _check(self) -> None:
-        steps = self.lifecycle.look(time.monotonic(), len(self.server.connections), self.host.waiting)
+        steps = self.lifecycle.due_steps(time.monotonic(), len(self.server.connections), self.host.unanswered_count)
         exits = Step.EXIT in steps
-        self.is_polling = not self.lifecycle.keeps and not exits
+        self.is_polling = not self.lifecycle.keeps_connections and not exits
         # Schedules first: a step that fails must not keep the process from exiting.
         if exits:
             self.loop.call_later(POLL_INTERVAL_S, self.on_exit)     # leaves time to write the last answers
--- a/fennelpoint/net/route_matching.py
+++ b/fennelpoint/net/route_matching.py
@@ -10,8 +10,8 @@
 
 from fennelpoint import interface as api
 from fennelpoint.body_buffering import Upload
-from fennelpoint.component import Carrier, Part
-from fennelpoint.net.controller_host import Asked
+from fennelpoint.component import Component, IngressContext
+from fennelpoint.net.controller_host import ParsedRequest
 from fennelpoint.net.request_parser import BadRequest, LocalReply, RequestReader, body_framing_field
 from fennelpoint.operator_config import Routes, read_operator
 from fennelpoint.rate_limited_log import log
@@ -38,7 +38,7 @@
         self.table = table
 
     def read(self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes,
-             upload: Upload | None = None) -> Asked:
+             upload: Upload | None = None) -> ParsedRequest:
         if url == b"*" and method == b"OPTIONS":
             raise LocalReply(200)
         try:
@@ -84,19 +84,19 @@
         if method != b"GET":
             lines.append(body_framing_field(body, upload))
         is_safe = self.settings.classes[route.cls].effect is api.Effect.SAFE
-        return Asked(routing_fields[b"x-txn"], route.cls, plan, customer, time_left, units, width, first,
+        return ParsedRequest(routing_fields[b"x-txn"], route.cls, plan, customer, time_left, units, width, first,
                      routing_fields.get(b"x-resent") == b"1", not is_safe, b"\r\n".join(lines) + b"\r\n", body,
                      is_head_request, upload)
 
 
-class RoutesComponent(Part):
+class RoutesComponent(Component):
     """Installs the route matching and follows changes of the description; turning it on or off takes a restart."""
 
-    def __init__(self, ingress: Carrier, routes: Routes) -> None:
+    def __init__(self, ingress: IngressContext, routes: Routes) -> None:
         config, self.ingress, self.routes = ingress.config, ingress, routes
-        reader = ingress.server.reader = RoutedRequestReader(config.settings, config.read.table())
-        self.follower = Follower(ingress.loop, reader, config.settings, routes, config.read.files)
-        config.read = None      # frees its memory
+        reader = ingress.server.reader = RoutedRequestReader(config.settings, config.description.table())
+        self.follower = Follower(ingress.loop, reader, config.settings, routes, config.description.files)
+        config.description = None      # frees its memory
         self.is_fleet_managed = False   # the fleet's version contains the description
 
     async def start(self) -> None:
--- a/tests/test_admin_socket.py
+++ b/tests/test_admin_socket.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fennelpoint.file_descriptors import MOST_CALLERS
+from fennelpoint.file_descriptors import MAX_ADMIN_CALLERS
 from fennelpoint.lifecycle import Phase
 from fennelpoint.net.admin_socket import MAX_LINE_BYTES
 from fennelpoint.testing import Backend, ask, ok, read_message, request, run, until, world
@@ -34,7 +34,7 @@
                 assert (await send_command(harness, b"drain")).startswith("ACK draining")
                 assert (await send_command(harness, b"ready")).startswith("NAK draining") and (
                     await status(harness) == 503)
-            await until(lambda: harness.ingress.life.phase is Phase.DRAINED)
+            await until(lambda: harness.ingress.life_cycle.phase is Phase.DRAINED)
             assert (await send_command(harness, b"ready")).startswith("NAK drained") and await status(harness) == 503
             for _ in range(2):
                 assert (await send_command(harness, b"resume\r")).startswith("ACK serving")
@@ -47,12 +47,13 @@
     """The heartbeat reports the state of the same lifecycle as the admin socket."""
     async def scenario() -> None:
         async with world(Backend(), door=True) as harness:
-            states = [harness.ingress.word()[0]]
+            states = [harness.ingress.heartbeat_state()[0]]
             for line in (b"drain", b"resume", b"drain"):
                 await send_command(harness, line)
-                states.append(harness.ingress.word()[0])
-            await until(lambda: harness.ingress.life.phase is Phase.DRAINED)
-            assert states == ["up", "draining", "up", "draining"] and harness.ingress.word()[0] == "draining"
+                states.append(harness.ingress.heartbeat_state()[0])
+            await until(lambda: harness.ingress.life_cycle.phase is Phase.DRAINED)
+            assert states == ["up", "draining", "up", "draining"] and (
+                harness.ingress.heartbeat_state()[0] == "draining")
 
     run(scenario())
 
@@ -60,7 +61,7 @@
 def test_ready_is_nak_before_the_first_backend_list():
     async def scenario() -> None:
         async with world(Backend(), door=True) as harness:
-            harness.ingress.life.phase = Phase.STARTING
+            harness.ingress.life_cycle.phase = Phase.STARTING
             assert (await send_command(harness, b"ready")).startswith("NAK starting")
 
     run(scenario())
@@ -88,7 +89,7 @@
     async def scenario() -> None:
         async with world(Backend(), door=True) as harness:
             assert (await send_command(harness, line)).startswith("NAK ")
-            assert harness.ingress.life.phase is Phase.SERVING
+            assert harness.ingress.life_cycle.phase is Phase.SERVING
 
     run(scenario())
 
@@ -96,18 +97,18 @@
 def test_silent_admin_connections_neither_block_later_ones_nor_use_up_descriptors():
     async def scenario() -> None:
         async with world(Backend(), door=True) as harness:
-            silent = [await asyncio.open_connection(*harness.door) for _ in range(3 * MOST_CALLERS)]
+            silent = [await asyncio.open_connection(*harness.door) for _ in range(3 * MAX_ADMIN_CALLERS)]
             for _, writer in silent[::2]:
                 writer.write(b"dra")
-            await until(lambda: len(harness.ingress.parts["door"].connections) <= MOST_CALLERS)
+            await until(lambda: len(harness.ingress.components["door"].connections) <= MAX_ADMIN_CALLERS)
             started_at = time.monotonic()
             assert (await send_command(harness, b"ready")).startswith("ACK")
             assert time.monotonic() - started_at < 0.5
-            assert len(harness.ingress.parts["door"].connections) <= MOST_CALLERS
-            assert harness.ingress.life.phase is Phase.SERVING
+            assert len(harness.ingress.components["door"].connections) <= MAX_ADMIN_CALLERS
+            assert harness.ingress.life_cycle.phase is Phase.SERVING
             for _, writer in silent:
                 writer.close()
-            await until(lambda: not harness.ingress.parts["door"].connections)
+            await until(lambda: not harness.ingress.components["door"].connections)
 
     run(scenario())
 
@@ -125,7 +126,7 @@
             started_at = time.monotonic()
             await send_command(harness, b"drain")
             assert await idle[0].read() == b"" and time.monotonic() - started_at < 1.0
-            assert harness.ingress.life.phase is Phase.DRAINING     # requests are open
+            assert harness.ingress.life_cycle.phase is Phase.DRAINING     # requests are open
             backend.answer = lambda *_: ok(b"second")
             for writer in backend.writers:
                 writer.write(ok(b"first"))
@@ -137,7 +138,7 @@
             assert (body, fields["connection"]) == (b"second", "close") and await pipelining[0].read() == b""
             for _, writer in (idle, waiting, pipelining):
                 writer.close()
-            await until(lambda: harness.ingress.life.phase is Phase.DRAINED)
+            await until(lambda: harness.ingress.life_cycle.phase is Phase.DRAINED)
 
     run(scenario())
 
@@ -154,7 +155,7 @@
             assert line.endswith("200 OK") and fields["connection"] == "close"
             line, fields, _ = await ask(harness, request())
             assert line.endswith("200 OK") and fields["connection"] == "close"
-            await until(lambda: harness.ingress.life.phase is Phase.DRAINED)
+            await until(lambda: harness.ingress.life_cycle.phase is Phase.DRAINED)
             line, fields, _ = await ask(harness, request())    # a proxy that missed the drain still gets an answer
             assert line.endswith("200 OK") and fields["connection"] == "close"
             reused[1].close()
@@ -205,7 +206,7 @@
 def test_without_the_setting_there_is_no_admin_socket():
     async def scenario() -> None:
         async with world(Backend()) as harness:
-            assert "door" not in harness.ingress.parts
+            assert "door" not in harness.ingress.components
 
     run(scenario())
 
@@ -235,6 +236,6 @@
             assert line.endswith("200 OK") and body == b"yes" and fields["connection"] == "close"
             assert await reused[0].read() == b"" and backend.seen[-1][2] == b"0123456789"
             reused[1].close()
-            await until(lambda: harness.ingress.life.phase is Phase.DRAINED)
+            await until(lambda: harness.ingress.life_cycle.phase is Phase.DRAINED)
 
     run(scenario())
