--- a/fennelpoint/testing/core_calls.py
+++ b/fennelpoint/testing/core_calls.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from fennelpoint.system.calls import find
-from fennelpoint.system.http_server import Asking
+from fennelpoint.system.calls import find_call
+from fennelpoint.system.http_server import ApiRequest
 from fennelpoint.testing.core_machines import Backend, Caller, CheckFailed
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
     home_regions: list[str]
     cores: dict[str, CoreMachine]
     proxies: dict[str, ProxyMachine]
-    calls_by_label: dict[str, list[Asking]]
+    calls_by_label: dict[str, list[ApiRequest]]
     replies: dict[int, Reply]
     heartbeat_callers: dict[int, Backend]
     deferred_deliveries: dict[str, list[Callable[[], None]]]
@@ -50,9 +50,9 @@
         `caller` is the backend whose heartbeat the call is, `interface` the listener of the core that it is for.
         """
         core = self.cores[target]
-        endpoint, segment, _ = find(interface, method, path)
+        endpoint, segment, _ = find_call(interface, method, path)
         data = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
-        request = Asking(endpoint, segment, query or {}, data, Caller())
+        request = ApiRequest(endpoint, segment, query or {}, data, Caller())
         self.calls_by_label.setdefault(label, []).append(request)
         if caller is not None:
             self.heartbeat_callers[id(request)] = caller
@@ -107,7 +107,7 @@
         addresses = reply.value["addresses"] if reply.status == 200 else []
         return sorted({self.proxies[address.partition(":")[0]].region for address in addresses})
 
-    def _wait_until_accepted(self, request: Asking) -> None:
+    def _wait_until_accepted(self, request: ApiRequest) -> None:
         limit = self.now + ACCEPT_TIMEOUT_S
         while (reply := self.replies.get(id(request))) is None and self.now < limit:
             self.run(self.now + STEP_S)
--- a/fennelpoint/testing/core_invariants.py
+++ b/fennelpoint/testing/core_invariants.py
@@ -125,7 +125,7 @@
         for proxy in simulation.proxies.values():
             is_outdated = (
                 proxy.version < newest
-                and simulation.now - simulation.acknowledged_at[newest] > simulation.bounds.newest_within_s
+                and simulation.now - simulation.acknowledged_at[newest] > simulation.bounds.max_staleness_s
             )
             if is_outdated and simulation.may_send_requests(proxy):
                 age = simulation.now - simulation.acknowledged_at[newest]
--- a/fennelpoint/testing/core_machines.py
+++ b/fennelpoint/testing/core_machines.py
@@ -18,8 +18,8 @@
 class Caller:
     """Stands in for the connection on which a call came in."""
 
-    lost: bool = False
-    hung_up: bool = False
+    is_lost: bool = False
+    is_closed_by_caller: bool = False
 
 
 @dataclass(eq=False)
--- a/fennelpoint/testing/core_simulation.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -20,8 +20,8 @@
 from fennelpoint.fleet.store import making_room
 from fennelpoint.system.actions import Send, Violation
 from fennelpoint.system.frames import Unpacker, pack
-from fennelpoint.system.http_server import Asking, Reply
-from fennelpoint.system.mesh import ip_of, name
+from fennelpoint.system.http_server import ApiRequest, Reply
+from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.proxy.core_session import CoreSession
 from fennelpoint.system.proxy.session_actions import ApplyConfig, LeaseChanged, UnitsReceived
 from fennelpoint.system.registry import state_machine as registry_machine
@@ -59,7 +59,7 @@
         self.kind_delays_s: dict[str, float] = {}       # added to the latency of a kind of message
         self.content_delays_s: dict[str, float] = {}    # added to the latency of contents, by destination
         self.connections: dict[tuple[str, str], tuple[bool, float]] = {}    # by ends: whether up, and when checked
-        self.calls_by_label: dict[str, list[Asking]] = {}
+        self.calls_by_label: dict[str, list[ApiRequest]] = {}
         self.replies: dict[int, Reply] = {}     # by id of the call
         self.acknowledged_at: dict[int, float] = {}     # by configuration version
         self.is_started = False
@@ -90,7 +90,7 @@
             return
         proxy = self.proxies[ip]
         proxy.is_running, proxy.version = True, 0
-        self._reset_connections(name("span", ip))
+        self._reset_connections(peer_name("span", ip))
         description = {"address": f"{ip}:80", "zone": proxy.zone, "region": proxy.region,
                        "life": self.random.getrandbits(40)}
         proxy.session = CoreSession(ip, proxy.zone, proxy.region, regions, self.seed_nodes, description, self.now,
@@ -111,7 +111,7 @@
                 ip, core.zone, core.region, regions, self.seed_nodes, 8200, self.bounds, HEARTBEAT_INTERVAL_S,
                 self.random.getrandbits(40), first, self.now)
             core.registry.restore(list(core.saved_rows.values()), self.now)
-        self._reset_connections(name(role, ip))
+        self._reset_connections(peer_name(role, ip))
 
     def _reset_connections(self, process: str) -> None:
         """Close the connections of a process that is replaced by a new incarnation."""
@@ -198,8 +198,8 @@
                     core.store.disk_recovered()
                 case store_replica.Send(to, message):
                     self.send(
-                        name("writ", core.ip),
-                        name("roll", core.ip) if to == store_replica.REGISTRY else name("writ", to),
+                        peer_name("writ", core.ip),
+                        peer_name("roll", core.ip) if to == store_replica.REGISTRY else peer_name("writ", to),
                         message,
                     )
                 case store_replica.Save(acceptor):
@@ -213,7 +213,7 @@
         for action in actions:
             match action:
                 case registry_machine.Send(to, message):
-                    self.send(name("roll", core.ip), to, message)
+                    self.send(peer_name("roll", core.ip), to, message)
                 case registry_machine.Save(rows, forgotten):
                     core.saved_rows.update({row[0]: row for row in rows})
                     for id in forgotten:
@@ -222,11 +222,11 @@
                     self._record_reply(request, reply)
                 case Violation(invariant, detail):
                     raise CheckFailed(f"{self.now:.2f}: {core.ip}: {invariant.name}: {detail}")
-                case registry_machine.Note("LOST", fields):
+                case registry_machine.LogEvent("LOST", fields):
                     self.false_losses += [
                         id for id in fields["ids"].split(", ") if self.backends[id].state != "silent"]
 
-    def _record_reply(self, request: Asking, reply: Reply) -> None:
+    def _record_reply(self, request: ApiRequest, reply: Reply) -> None:
         if id(request) in self.replies:
             raise CheckFailed(f"{self.now:.2f}: a call got two replies")
         self.replies[id(request)] = reply
@@ -246,7 +246,7 @@
         for action in actions:
             match action:
                 case Send(to, message):
-                    self.send(name("span", proxy.ip), to, message)
+                    self.send(peer_name("span", proxy.ip), to, message)
                 case ApplyConfig(version, _):
                     if version < proxy.version:
                         raise CheckFailed(f"{self.now:.2f}: {proxy.ip} goes back from {proxy.version} to {version}")
@@ -323,18 +323,18 @@
     def _update_connections(self) -> None:
         """Report connections that came up, or whose break was noticed, since the last step."""
         desired: dict[tuple[str, str], bool] = {}
-        registries = [name("roll", ip) for ip in self.cores]
+        registries = [peer_name("roll", ip) for ip in self.cores]
         for source in registries:
             for peer in registries:
                 if source != peer:
                     desired[source, peer] = True
-            desired[source, name("writ", ip_of(source))] = True
-        stores = [name("writ", ip) for ip in self.cores]
+            desired[source, peer_name("writ", ip_of(source))] = True
+        stores = [peer_name("writ", ip) for ip in self.cores]
         desired |= {(source, peer): True for source in stores for peer in stores if source != peer}
         for proxy in self.proxies.values():
             if proxy.is_running:
                 for peer in proxy.session.peers(self.now):
-                    desired[name("span", proxy.ip), peer] = desired[peer, name("span", proxy.ip)] = True
+                    desired[peer_name("span", proxy.ip), peer] = desired[peer, peer_name("span", proxy.ip)] = True
         for pair in {*desired, *self.connections}:
             source, peer = pair
             if ip_of(source) in self.frozen_since:
--- a/fennelpoint/testing/operator_calls.py
+++ b/fennelpoint/testing/operator_calls.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from fennelpoint.system.calls import find
-from fennelpoint.system.http_server import Asking, Reply
+from fennelpoint.system.calls import find_call
+from fennelpoint.system.http_server import ApiRequest, Reply
 from fennelpoint.testing.core_machines import Caller, CheckFailed
 from fennelpoint.testing.linearizable import Op
 
@@ -38,7 +38,7 @@
     required_target: str = ""  # the only machine allowed; empty for any
     attempts: int = 0
     redirects: int = 0
-    request: Asking | None = None
+    request: ApiRequest | None = None
     result: Op | None = None
 
 
@@ -53,8 +53,8 @@
     frozen_queues: dict[str, list[Callable[[], None]]]
     history: list[Op]
     pending: list[PendingOperation]
-    open_requests: dict[int, tuple[PendingOperation, Asking, str]]
-    sent_requests: list[Asking]
+    open_requests: dict[int, tuple[PendingOperation, ApiRequest, str]]
+    sent_requests: list[ApiRequest]
     known_versions: list[int]
     change_count: int
     change_bodies: dict[int, bytes]
@@ -153,14 +153,14 @@
             return
         others = [ip for ip in self.cores if ip not in self.removed and ip != operation.target] or list(self.cores)
         operation.target = redirected_to or operation.required_target or self.rng.choice(others)
-        call, segment, _ = find("control_plane", operation.method, operation.path)
-        request = operation.request = Asking(call, segment, {}, operation.body, Caller())
+        call, segment, _ = find_call("control_plane", operation.method, operation.path)
+        request = operation.request = ApiRequest(call, segment, {}, operation.body, Caller())
         self.sent_requests.append(request)
         target = operation.target
         self._schedule(self._network_delay(), lambda: self._deliver_request(operation, request, target))
         self._schedule(REPLY_TIMEOUT_S, lambda: self._attempt_failed(operation, request))
 
-    def _deliver_request(self, operation: PendingOperation, request: Asking, target: str) -> None:
+    def _deliver_request(self, operation: PendingOperation, request: ApiRequest, target: str) -> None:
         core = self.cores[target]
         if not core.is_running:
             return self._attempt_failed(operation, request)
@@ -169,23 +169,23 @@
         self.open_requests[id(request)] = (operation, request, target)
         self._run_registry_actions(core, core.registry.on_call(request, self.now))
 
-    def _record_reply(self, request: Asking, reply: Reply) -> None:
+    def _record_reply(self, request: ApiRequest, reply: Reply) -> None:
         super()._record_reply(request, reply)
         operation, _, target = self.open_requests.pop(id(request))
-        if request.gone or self.plan.loses_replies and not self.are_faults_over and self.rng.random() < 0.2:
+        if request.is_abandoned or self.plan.loses_replies and not self.are_faults_over and self.rng.random() < 0.2:
             pass  # the reply is lost: the caller has already retried elsewhere, or will
         else:
             self._schedule(self._network_delay(), lambda: self._handle_reply(operation, request, reply))
         if reply.status == 200 and request.call.name in CHANGE_METHODS:
             self._change_acknowledged(target)
 
-    def _attempt_failed(self, operation: PendingOperation, request: Asking) -> None:
+    def _attempt_failed(self, operation: PendingOperation, request: ApiRequest) -> None:
         if operation.request is request:
             self._retry(operation)
 
     def _retry(self, operation: PendingOperation) -> None:
         if operation.request is not None:
-            operation.request._visit.lost = True
+            operation.request._connection.is_lost = True
         operation.request = None
         backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**operation.attempts)
         operation.attempts += 1
@@ -193,7 +193,7 @@
             return self._schedule(backoff_s, lambda: self._attempt(operation))
         self._finish(operation, 0, None)
 
-    def _handle_reply(self, operation: PendingOperation, request: Asking, reply: Reply) -> None:
+    def _handle_reply(self, operation: PendingOperation, request: ApiRequest, reply: Reply) -> None:
         if operation.request is not request:
             return
         if reply.status == 307 and operation.redirects < 2:
--- a/fennelpoint/testing/operators.py
+++ b/fennelpoint/testing/operators.py
@@ -14,8 +14,8 @@
 from heapq import heappop
 from random import Random
 
-from fennelpoint.system.http_server import Asking
-from fennelpoint.system.mesh import ip_of, name
+from fennelpoint.system.http_server import ApiRequest
+from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.settings import Bounds
 from fennelpoint.testing.core_machines import CheckFailed, CoreMachine
 from fennelpoint.testing.core_simulation import LINK_TIMEOUT_S, CoreSimulation
@@ -39,8 +39,8 @@
         self.rng = Random(self.plan.seed)
         self.bounds = Bounds()
         self.pending: list[PendingOperation] = []
-        self.open_requests: dict[int, tuple[PendingOperation, Asking, str]] = {}
-        self.sent_requests: list[Asking] = []  # kept alive, so that no two requests have the same id()
+        self.open_requests: dict[int, tuple[PendingOperation, ApiRequest, str]] = {}
+        self.sent_requests: list[ApiRequest] = []  # kept alive, so that no two requests have the same id()
         self.known_versions = [0, 0]  # newest version that each operator has seen
         self.change_count = 0
         self.change_bodies: dict[int, bytes] = {}  # by number of the change
@@ -115,10 +115,10 @@
                 elif self.now - consistent_at >= (CONNECTION_CHANGE_S if is_up or not both_run else LINK_TIMEOUT_S):
                     self.machine_connections[a, b] = (is_up, self.now)
                     if core.is_running and a == b:
-                        self._notify_connection(name("roll", a), name("writ", a), is_up)
+                        self._notify_connection(peer_name("roll", a), peer_name("writ", a), is_up)
                     elif core.is_running:
-                        self._notify_connection(name("roll", a), name("roll", b), is_up)
-                        self._notify_connection(name("writ", a), name("writ", b), is_up)
+                        self._notify_connection(peer_name("roll", a), peer_name("roll", b), is_up)
+                        self._notify_connection(peer_name("writ", a), peer_name("writ", b), is_up)
 
     def _deliver(self, source: str, to: str, message: list) -> None:
         if (deferred := self.frozen_queues.get(ip_of(to))) is not None:
--- a/fennelpoint/testing/scenario_language.py
+++ b/fennelpoint/testing/scenario_language.py
@@ -106,7 +106,7 @@
             case ["evacuate", zone, "via", ip]:
                 self.call("POST", f"/api/evacuation/{zone}", None, ip, f"evacuate {zone}")
             case ["hang", "up", *label]:    # the caller of the last call with that label disconnects
-                self.calls_by_label[" ".join(label)][-1]._visit.lost = True
+                self.calls_by_label[" ".join(label)][-1]._connection.is_lost = True
             case ["restore", zone, "via", ip]:
                 self.call("DELETE", f"/api/evacuation/{zone}", None, ip, f"restore {zone}")
             case ["get", "via", ip]:
--- a/fennelpoint/testing/soak/runner.py
+++ b/fennelpoint/testing/soak/runner.py
@@ -121,7 +121,7 @@
         )
         self.blocked: dict[str, set[str]] = {machine: set() for machine in (*CORES, *PROXIES)}
         self.version = 0
-        self.versions = VersionHistory(Bounds().newest_within_s)
+        self.versions = VersionHistory(Bounds().max_staleness_s)
         self.change_lock = asyncio.Lock()
         self.longest_shutdown_s = 0.0
         self.tasks: list[asyncio.Task] = []
--- a/tests/system/test_idempotency.py
+++ b/tests/system/test_idempotency.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from fennelpoint.system.config_versions import digest, encode
-from fennelpoint.system.http_server import Reply, Web
+from fennelpoint.system.http_server import HttpServer, Reply
 from fennelpoint.system.store import idempotency
 from fennelpoint.system.store.replicated_state import archive_requests, configure, initial_state, restore_snapshot
 
@@ -141,7 +141,7 @@
     suspended, and must not begin it anew afterwards."""
     loop = asyncio.new_event_loop()
     hung_up: list[bool] = []
-    web = Web(loop, lambda request: (hung_up.append(request.gone), request.answer(Reply(503))))
+    web = HttpServer(loop, lambda request: (hung_up.append(request.is_abandoned), request.answer(Reply(503))))
     loop.run_until_complete(web.listen("control_plane", ("127.0.0.1", 0)))
     address = web.listeners[0].sockets[0].getsockname()
     for hangs_up in (True, False):
