--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -25,7 +25,7 @@
 from fennelpoint.component import Carrier, Part
 from fennelpoint.fleet import audit, logs, plan_parameters, state, version_contents
 from fennelpoint.fleet.disk_ring_buffer import Ring
-from fennelpoint.fleet.rpc import CallFailed, Line, Service
+from fennelpoint.fleet.rpc import CallFailed, RpcClient, RpcServer
 from fennelpoint.fleet.version_lease import Act, Action, Admit, Fetch, Licence, PeerWord, Shut, Told
 from fennelpoint.lifecycle import Event
 from fennelpoint.operator_config import FleetSection, address_of
@@ -75,14 +75,14 @@
         plan_parameters.attach(ingress.host.controller)
         self.ready: dict[str, Ready] = {"": Ready(version_contents.EMPTY, b"", self.own_plans)}
         self.acting: Ready = self.ready[""]
-        self.keepers = {name: Line(*address) for name, address in map(address_of, section.keepers)}
+        self.keepers = {name: RpcClient(*address) for name, address in map(address_of, section.keepers)}
         self.suspect: dict[str, float] = {}
         self.given = dict(map(address_of, section.peers))
-        self.peers: dict[str, Line] = {}
+        self.peers: dict[str, RpcClient] = {}
         self.turn = random.randrange(1 << 20)
         self.passing: dict[str, tuple[float, dict]] = {}    # words of peers that hear no keeper, and when they came
         self.soon = asyncio.Event()
-        self.service = Service("fleet", self.handle)
+        self.service = RpcServer("fleet", self.handle)
         self.tasks: list[asyncio.Task] = []
         self.time = audit.FleetTime()
         self.book = audit.Book(self.name, self.life, self.member.number, zone)
@@ -286,7 +286,7 @@
             self.tasks.append(asyncio.ensure_future(self._tell(peer)))
         return self.licence.until - heard > self._life_s() / 2
 
-    def _peer_lines(self) -> dict[str, Line]:
+    def _peer_lines(self) -> dict[str, RpcClient]:
         fleet = self.licence.fleet
         known = {name: address_of("=" + m.address)[1] for name, m in fleet.members.items()} if fleet else {}
         for name, address in {**known, **self.given}.items():
@@ -294,7 +294,7 @@
             if name != self.name and (line is None or line.address != address):
                 if line is not None:
                     line.close()
-                self.peers[name] = Line(*address)
+                self.peers[name] = RpcClient(*address)
         for name in set(self.peers) - set(known) - set(self.given):
             self.peers.pop(name).close()
         return self.peers
@@ -306,7 +306,7 @@
         for at in range(0, len(names), MOST_PEERS):
             await asyncio.gather(*(self._ask_peer(name, lines[name]) for name in names[at:at + MOST_PEERS]))
 
-    async def _ask_peer(self, name: str, line: Line) -> None:
+    async def _ask_peer(self, name: str, line: RpcClient) -> None:
         asked, fleet = steady(), self.licence.fleet
         try:
             answer = await line.call("peer", max(0.1, self._life_s() / 6), **self._word())
--- a/fennelpoint/fleet/consensus.py
+++ b/fennelpoint/fleet/consensus.py
@@ -35,7 +35,7 @@
     majority_value,
     no_change,
 )
-from fennelpoint.fleet.rpc import CallFailed, Line
+from fennelpoint.fleet.rpc import CallFailed, RpcClient
 from fennelpoint.fleet.store import Store
 from fennelpoint.rate_limited_log import log
 
@@ -130,7 +130,7 @@
     def __init__(self, store: Store, peers: Mapping[str, tuple[str, int]]) -> None:
         """`peers` are the other keepers."""
         self.store, self.name = store, store.name
-        self.lines = {name: Line(*address) for name, address in peers.items()}
+        self.lines = {name: RpcClient(*address) for name, address in peers.items()}
         self.keepers = 1 + len(peers)
         self.proposer = f"{self.name}.{secrets.token_hex(4)}"
         self.round = 0
--- a/fennelpoint/fleet/coordinator.py
+++ b/fennelpoint/fleet/coordinator.py
@@ -30,7 +30,7 @@
 )
 from fennelpoint.fleet.register import Acceptor, majority
 from fennelpoint.fleet.rollout import Conductor, Step, Word
-from fennelpoint.fleet.rpc import CallFailed, Line, Service, call_once
+from fennelpoint.fleet.rpc import CallFailed, RpcClient, RpcServer, call_once
 from fennelpoint.fleet.store import Store
 from fennelpoint.operator_config import Keeper as Section
 from fennelpoint.operator_config import address_of, read_operator
@@ -85,7 +85,7 @@
         self.spans_due: dict[tuple[str, str, int], str] = {}    # not on disk yet: for FLUSH at most
         self.flushed_at = 0.0
         self.late: tuple[float, list[str]] = (0.0, [])
-        self.service = Service("keeper", self.handle)
+        self.service = RpcServer("keeper", self.handle)
         self.tasks: list[asyncio.Task] = []
         self.calls = {"renew": self.renew, "read": self.read, "publish": self.publish, "step": self.step,
                       "content": self.content, "keep_content": self.keep_content, "words": self.words,
@@ -212,7 +212,7 @@
 
     async def _gossip_on(self) -> None:
         """What the processes said to the other keepers, and contents and spans that these have."""
-        lines = {name: Line(*address) for name, address in self.peers.items()}
+        lines = {name: RpcClient(*address) for name, address in self.peers.items()}
         try:
             while True:
                 busy = self.base is not None and self.base.fleet.coming is not None
@@ -235,7 +235,7 @@
             word = _word(fields, now - float(fields["age"]))
             self.conductor.heard(word, self.base.fleet.bounds.licence_s)
 
-    async def _fetch_missing(self, line: Line) -> None:
+    async def _fetch_missing(self, line: RpcClient) -> None:
         if self.base is None:
             return
         for digest in self._digests():
--- a/fennelpoint/fleet/queries.py
+++ b/fennelpoint/fleet/queries.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from fennelpoint.fleet import audit, state
-from fennelpoint.fleet.rpc import CallFailed, Refusal, call_once
+from fennelpoint.fleet.rpc import CallFailed, CallRefused, call_once
 
 WAIT = 8.0          # s for a keeper's answer to a person
 AGAIN = 3           # rounds over all keepers, for a change
@@ -45,8 +45,8 @@
             for name, address in self.keepers.items():
                 try:
                     return await call_once(address, do, self.wait, change=change_id, **fields)
-                except Refusal as error:
-                    raise Refusal(f"keeper {name}: {error}") from None
+                except CallRefused as error:
+                    raise CallRefused(f"keeper {name}: {error}") from None
                 except CallFailed as error:
                     why = f"keeper {name}: {error}"
             await asyncio.sleep(0.2 * (turn + 1))
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -11,7 +11,7 @@
 
 from fennelpoint.fleet import state
 from fennelpoint.fleet.register import Acceptor, RegisterState
-from fennelpoint.fleet.rpc import CallFailed, Line, Refusal, Service, call_once
+from fennelpoint.fleet.rpc import CallFailed, CallRefused, RpcClient, RpcServer, call_once
 from fennelpoint.fleet.store import Store
 from fennelpoint.operator_config import FaultyFile, read_operator
 from fennelpoint.testing.ingress_harness import run
@@ -68,9 +68,9 @@
                 raise ValueError("not today\nnor tomorrow")
             return {"got": call["n"]}
 
-        service = Service("test", answer)
+        service = RpcServer("test", answer)
         address = await service.listen("127.0.0.1", 0)
-        good = Line(*address)
+        good = RpcClient(*address)
         for garbage in (b"\x00\xff\n", b"[]\n", b"{}\n", b'{"do": 3}\n', b"GET / HTTP/1.1\r\n\r\n",
                         b"[" * 100_000 + b"\n", b"x" * 7_000_000):
             reader, writer = await asyncio.open_connection(*address)
@@ -80,7 +80,7 @@
             except ConnectionError:
                 pass
             writer.close()
-            assert await good.call("yes", 2.0, n=1) == {"got": 1, "id": good.number}
+            assert await good.call("yes", 2.0, n=1) == {"got": 1, "id": good.last_id}
         with pytest.raises(CallFailed, match="^not today$"):
             await good.call("no", 2.0)
         with pytest.raises(CallFailed, match="the call's fields"):
@@ -244,7 +244,7 @@
             assert (await rig.view()).fleet.last == 1
             newest, old = [await call_once(rig.keepers["k1"], do, 2.0) for do in ("read", "glance")]
             assert newest["fleet"]["last"] == 1 and old["old"] and old["revision"] <= newest["revision"]
-            with pytest.raises(Refusal, match="is offered|holds the same"):
+            with pytest.raises(CallRefused, match="is offered|holds the same"):
                 await rig.fleet.change("publish", files=content_of(1), who="me", why="again")
 
     run(test(), 60.0)
--- a/tests/fleet/test_registers.py
+++ b/tests/fleet/test_registers.py
@@ -10,7 +10,7 @@
 from fennelpoint.fleet.consensus import EmbeddedRegister, Held, Unknown, decode_message, encode_answer
 from fennelpoint.fleet.etcd import EtcdRegister
 from fennelpoint.fleet.register import Acceptor
-from fennelpoint.fleet.rpc import CallFailed, Service, call_once
+from fennelpoint.fleet.rpc import CallFailed, RpcServer, call_once
 from fennelpoint.fleet.store import Store
 from fennelpoint.testing.etcd import Etcd
 from fennelpoint.testing.ingress_harness import run
@@ -35,7 +35,7 @@
         async def answer(call: dict, one=one) -> dict:
             return encode_answer(one.answer(decode_message(call)))
 
-        services.append(Service("keeper", answer))
+        services.append(RpcServer("keeper", answer))
         await services[-1].listen(*address)
         made.append(one)
 
