--- a/fennelpoint/fleet/__init__.py
+++ b/fennelpoint/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the ingresses agree on: one small record, versions, licences, the audit (docs/fleet.md)."""
+"""Shared state of the ingresses: one replicated record, versions, leases and the audit trail (docs/fleet.md)."""
--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -24,7 +24,7 @@
 from fennelpoint import interface as api
 from fennelpoint.component import Carrier, Part
 from fennelpoint.fleet import audit, logs, plan_parameters, state, version_contents
-from fennelpoint.fleet.disk_ring_buffer import Ring
+from fennelpoint.fleet.disk_ring_buffer import DiskRingBuffer
 from fennelpoint.fleet.rpc import CallFailed, RpcClient, RpcServer
 from fennelpoint.fleet.version_lease import Act, Action, Admit, Fetch, Licence, PeerWord, Shut, Told
 from fennelpoint.lifecycle import Event
@@ -72,7 +72,7 @@
         self.own_plans, self.own_table = list(settings.plans), None
         self.plans, self.stamp, self.mixed = self.own_plans, 0, False
         self.calm_at = 0.0      # when the counter's word counts again after other figures came
-        plan_parameters.attach(ingress.host.controller)
+        plan_parameters.register_handler(ingress.host.controller)
         self.ready: dict[str, Ready] = {"": Ready(version_contents.EMPTY, b"", self.own_plans)}
         self.acting: Ready = self.ready[""]
         self.keepers = {name: RpcClient(*address) for name, address in map(address_of, section.keepers)}
@@ -87,7 +87,7 @@
         self.time = audit.FleetTime()
         self.book = audit.Book(self.name, self.life, self.member.number, zone)
         self.before: list[audit.Span] = []      # of the life before, from its ring
-        self.ring: Ring | None = None
+        self.ring: DiskRingBuffer | None = None
         self.folder = Path(section.folder) if section.folder else None
         self.origin = "{}/{}:{}".format(_boot_id(), *config.listen)
         self.kept = 0           # the revision that is on disk
@@ -143,7 +143,7 @@
             log.error("no folder", ingress=self.name, why=f"{self.folder}: {error.strerror}")
             self.folder = None
             return
-        self.ring = Ring(self.folder / f"{self.name}.audit")
+        self.ring = DiskRingBuffer(self.folder / f"{self.name}.audit")
         lines, gap = self.ring.read()
         if gap:
             log.error("gap in the audit", ingress=self.name, why=gap)
@@ -493,13 +493,13 @@
     def _note(self) -> None:
         if self.ring is not None:
             for span in list(self.book.spans.values())[-2:]:
-                self.ring.add(json.dumps(span.value()).encode())
+                self.ring.append(json.dumps(span.value()).encode())
 
     async def _mark_on(self) -> None:
         while True:
             await asyncio.sleep(MARK)
             if (span := self.book.mark(self.time.at(steady()))) is not None and self.ring is not None:
-                self.ring.add(json.dumps(span.value()).encode())
+                self.ring.append(json.dumps(span.value()).encode())
 
     # Calls of peers and of people
 
--- a/fennelpoint/fleet/plan_parameters.py
+++ b/fennelpoint/fleet/plan_parameters.py
@@ -1,4 +1,4 @@
-"""Figures of plans that change under a running module (`api.PlansChanged`)."""
+"""Applies changed plan parameters to a running decision module (`api.PlansChanged`)."""
 
 from __future__ import annotations
 
@@ -9,24 +9,29 @@
 from fennelpoint.control import Controller
 
 
-def attach(control: Controller) -> None:
-    """Let a decision module go by other figures from now on."""
-    control.handlers[api.PlansChanged] = lambda event, now: take(control, event, now)
+def register_handler(control: Controller) -> None:
+    """Let the decision module handle `PlansChanged` events."""
+    control.handlers[api.PlansChanged] = lambda event, now: apply_plans(control, event, now)
 
 
-def take(control: Controller, event: api.PlansChanged, now: float) -> None:
-    """Other figures: no store holds more than they allow, and no word by those before counts."""
+def apply_plans(control: Controller, event: api.PlansChanged, now: float) -> None:
+    """Switch to the new plans.
+
+    No bucket level exceeds what the new plans allow, and counter replies received under the old ones no longer count.
+    """
     quotas, settings = control.quotas, control.settings
-    for c in quotas.customers.values():
-        quotas.fill(c, now)
-        c.left, c.left_at = c.left + settings.plans[c.plan].rate * (now - c.left_at), now
+    for customer in quotas.customers.values():
+        quotas.fill(customer, now)
+        customer.left, customer.left_at = (
+            customer.left + settings.plans[customer.plan].rate * (now - customer.left_at), now)
     control.context.settings = settings = replace(settings, plans=event.plans)
     quotas.stamp, quotas.mixed = event.stamp, event.mixed
-    for c in quotas.customers.values():
-        plan = settings.plans[c.plan]
-        quotas.set_width(c, c.width)
-        c.store, c.left = min(c.store, plan.burst), min(c.left, plan.burst)
-        c.level, c.ceiling = min(c.level, quotas.depth(c)), min(c.ceiling, ceiling_part(c, plan)[0])
-    for req in control.requests.open.values():   # a word of the counter was by the figures before
-        req.counted_until = 0.0
+    for customer in quotas.customers.values():
+        plan = settings.plans[customer.plan]
+        quotas.set_width(customer, customer.width)
+        customer.store, customer.left = min(customer.store, plan.burst), min(customer.left, plan.burst)
+        customer.level, customer.ceiling = (
+            min(customer.level, quotas.depth(customer)), min(customer.ceiling, ceiling_part(customer, plan)[0]))
+    for request in control.requests.open.values():   # the counter's replies were under the old plans
+        request.counted_until = 0.0
     control.wait_queue.dispatch(now)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -69,7 +69,7 @@
     def __post_init__(self) -> None:
         self.control = CelledController(self.settings, seed=7, now=self.now)
         handover.attach(self.control)
-        plan_parameters.attach(self.control)
+        plan_parameters.register_handler(self.control)
         self._collect(self.control.start(self.now))
 
     def _collect(self, actions: list) -> list:
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -13,7 +13,7 @@
 
 from fennelpoint.fleet import audit, store
 from fennelpoint.fleet.audit import OUT, Book, FleetTime, Span, at_time, newest
-from fennelpoint.fleet.disk_ring_buffer import Ring
+from fennelpoint.fleet.disk_ring_buffer import DiskRingBuffer
 from fennelpoint.testing.ingress_harness import run
 from fennelpoint.testing.observer import faults
 from fennelpoint.testing.process_cluster import Rig, Shape
@@ -168,25 +168,26 @@
 
 def test_a_ring_outlives_a_kill_is_bounded_and_tells_what_is_torn(tmp_path):
     path = tmp_path / "n0.audit"
-    code = ("import os, signal, sys\nfrom pathlib import Path\nfrom fennelpoint.fleet.disk_ring_buffer import Ring\n"
-            "ring = Ring(Path(sys.argv[1]), 2000)\n"
-            "for i in range(500): ring.add(b'line %d' % i)\n"
+    code = ("import os, signal, sys\nfrom pathlib import Path\n"
+            "from fennelpoint.fleet.disk_ring_buffer import DiskRingBuffer\n"
+            "ring = DiskRingBuffer(Path(sys.argv[1]), 2000)\n"
+            "for i in range(500): ring.append(b'line %d' % i)\n"
             "os.kill(os.getpid(), signal.SIGKILL)\n")
     subprocess.run([sys.executable, "-c", code, str(path)], timeout=30)
-    lines, gap = Ring(path).read()
+    lines, gap = DiskRingBuffer(path).read()
     assert lines[-1] == b"line 499" and gap == "" and 90 < len(lines) < 300
     assert lines == [b"line %d" % i for i in range(500 - len(lines), 500)]
     data = path.read_bytes()
     path.write_bytes(data[:-7] + b"\xff" + data[-6:])
-    lines, gap = Ring(path).read()
+    lines, gap = DiskRingBuffer(path).read()
     assert "torn" in gap and lines[-1] == b"line 498"
 
 
 def test_a_full_disk_is_told_once_and_changes_nothing(tmp_path, caplog):
-    ring = Ring(tmp_path / "is-a-folder")
+    ring = DiskRingBuffer(tmp_path / "is-a-folder")
     (tmp_path / "is-a-folder").mkdir()
-    assert not ring.add(b"one") and not ring.add(b"two")
-    assert caplog.text.count("takes no more of the audit") == 1
+    assert not ring.append(b"one") and not ring.append(b"two")
+    assert caplog.text.count("cannot append to the audit file") == 1
 
 
 def test_the_audit_names_what_the_observer_saw_and_is_rarely_unknown():
