--- a/benchmarks/fleet_record.py
+++ b/benchmarks/fleet_record.py
@@ -21,7 +21,7 @@
 from describing import paths
 from ingress import QUOTAS, cpu_seconds, fast, load, templates
 
-from fennelpoint.fleet.audit import at_time
+from fennelpoint.fleet.audit import versions_at
 from fennelpoint.testing import SETTINGS, Count, List, member
 from fennelpoint.testing.fleet_simulation import FleetWorld
 from fennelpoint.testing.fleet_simulation import Settings as WorldSettings
@@ -100,7 +100,7 @@
         spans = await rig.fleet.spans()
         wrong = unknown = 0
         for arrival in rig.seen.arrivals[:requests]:
-            answer = at_time(spans, arrival.ingress, (arrival.at + offset, arrival.at + offset))
+            answer = versions_at(spans, arrival.ingress, (arrival.at + offset, arrival.at + offset))
             unknown += not answer.sure
             wrong += rig.seen.version(arrival) not in answer.versions and not answer.unknown
         print(f"audit: {requests} requests over {version} versions, one ingress shut out: {wrong} wrong, {unknown} "
--- a/fennelpoint/fleet/audit.py
+++ b/fennelpoint/fleet/audit.py
@@ -1,8 +1,9 @@
-"""Who acted on which version, from when to when, and why it changed.
+"""The audit trail: which ingress acted on which version, from when to when, and why it changed.
 
-Pure.  An ingress notes *spans* in the fleet's time as it reckons that from keepers' answers, as intervals that
-surely hold the moment.  A span that nobody ended (a kill, a lost disk) is known until its last mark; after that
-it is unknown until the ingress's next life begins.  Nothing that is not known is told as if it were.
+No I/O.  An ingress records *spans* in coordinator time, which it estimates from the coordinators' answers; each
+time is an interval that is certain to contain the true one.  A span without a recorded end (the process was
+killed, or its disk was lost) is known up to its last mark; after that the version is unknown until the next
+incarnation of the ingress begins.  The audit never reports unknown times as known.
 """
 
 from __future__ import annotations
@@ -11,226 +12,234 @@
 from dataclasses import asdict, dataclass, replace
 from math import inf
 
-RATE = 200e-6       # how far two machines' clocks may drift apart, of the time between
-MOST_READINGS = 12
-OUT = -1            # acts on nothing: shut out, or not admitted yet
+MAX_CLOCK_DRIFT = 200e-6    # seconds per second by which the clocks of two machines may diverge
+MAX_CLOCK_READINGS = 12
+NO_VERSION = -1     # acts on no version: shut out, or not admitted yet
 
-Moment = tuple[float, float]    # Unix time in the fleet's reckoning: surely not before, surely not after
+TimeInterval = tuple[float, float]      # earliest and latest possible Unix time of an event, in coordinator time
 
 
-class FleetTime:
-    """The keepers' time by our own steady clock, as an interval that surely holds it.
+class CoordinatorClock:
+    """Estimates coordinator time from the local monotonic clock, as an interval certain to contain it.
 
-    Each answer of a keeper tells its clock at a moment between our asking and our hearing.  The readings' common
-    part counts; keepers whose clocks contradict each other make it wide.
+    Each answer carries the coordinator's clock at a time between sending the request and receiving the answer.
+    The estimate is the intersection of the readings; where the clocks of coordinators contradict each other, it
+    widens to cover them all.
     """
 
     def __init__(self) -> None:
-        self.readings: list[tuple[float, float, float]] = []    # our clock; the least and the most offset
+        self.readings: list[tuple[float, float, float]] = []    # local time; smallest and largest possible offset
 
-    def read(self, asked: float, told: float, heard: float) -> None:
-        """`told` is the keeper's clock, the others are ours."""
-        self.readings = [*self.readings, (heard, told - heard, told - asked)][-MOST_READINGS:]
+    def add_reading(self, sent_at: float, coordinator_time: float, received_at: float) -> None:
+        """Add one answer; `sent_at` and `received_at` are local times."""
+        self.readings = [*self.readings, (received_at, coordinator_time - received_at,
+                                          coordinator_time - sent_at)][-MAX_CLOCK_READINGS:]
 
-    def at(self, own: float) -> Moment:
-        """A moment of our clock in the fleet's time; anything, while no keeper was heard."""
+    def estimate(self, local_time: float) -> TimeInterval:
+        """Convert a local time to coordinator time; unbounded until a coordinator has answered."""
         if not self.readings:
             return -inf, inf
         low, high = -inf, inf
-        bounds = [(least - RATE * abs(own - when), most + RATE * abs(own - when))
-                  for when, least, most in self.readings]
-        for least, most in sorted(bounds, key=lambda b: b[1] - b[0]):
-            if max(low, least) <= min(high, most):
-                low, high = max(low, least), min(high, most)
-            else:   # clocks that contradict: any of them may be right
-                low, high = min(low, least), max(high, most)
-        return own + low, own + high
+        bounds = [(min_offset - MAX_CLOCK_DRIFT * abs(local_time - read_at),
+                   max_offset + MAX_CLOCK_DRIFT * abs(local_time - read_at))
+                  for read_at, min_offset, max_offset in self.readings]
+        for min_offset, max_offset in sorted(bounds, key=lambda bound: bound[1] - bound[0]):
+            if max(low, min_offset) <= min(high, max_offset):
+                low, high = max(low, min_offset), min(high, max_offset)
+            else:   # contradicting clocks: any of them may be right
+                low, high = min(low, min_offset), max(high, max_offset)
+        return local_time + low, local_time + high
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """One ingress's process acted on one version; `end` is none while its last mark is all that is known."""
+    """A period in which one process of an ingress acted on one version; `end` is None until the end is known."""
 
     ingress: str
-    life: str
-    seq: int            # of its life, from 1
-    version: int        # OUT: it sent nothing
+    life: str           # incarnation of the process
+    seq: int            # within the incarnation, from 1
+    version: int        # NO_VERSION: it sent nothing
     why: str
-    begin: Moment
-    mark: Moment        # until then at least
-    end: Moment | None = None
+    begin: TimeInterval
+    mark: TimeInterval  # the last time at which the process was known to act on the version
+    end: TimeInterval | None = None
     number: int = 0     # of the ingress
     zone: str = ""
-    alone: bool = False     # no other process of this ingress lived when it began
-    lost: int = 0       # spans of this life before this one that are not on record any more
+    alone: bool = False     # no other process of this ingress was running when the span began
+    lost: int = 0       # earlier spans of this incarnation that are no longer on record
 
     def value(self) -> dict:
         return asdict(self)
 
 
-def span_of(value: object) -> Span:
-    """Raises ValueError where it is none."""
+def parse_span(value: object) -> Span:
+    """Read a span from its JSON form; raises ValueError if it is malformed."""
     try:
-        pair = {name: tuple(value[name]) if value[name] is not None else None for name in ("begin", "mark", "end")}
-        made = Span(**{**value, **pair})
-        moments = [m for m in (made.begin, made.mark, made.end) if m is not None]
-        if type(made.version) is not int or type(made.seq) is not int or not all(
-                len(m) == 2 and m[0] <= m[1] for m in moments):
-            raise ValueError("it is no span")
-        return made
+        times = {name: tuple(value[name]) if value[name] is not None else None for name in ("begin", "mark", "end")}
+        span = Span(**{**value, **times})
+        intervals = [interval for interval in (span.begin, span.mark, span.end) if interval is not None]
+        if type(span.version) is not int or type(span.seq) is not int or not all(
+                len(interval) == 2 and interval[0] <= interval[1] for interval in intervals):
+            raise ValueError("malformed audit span")
+        return span
     except (KeyError, TypeError):
-        raise ValueError("it is no span") from None
+        raise ValueError("malformed audit span") from None
 
 
-class Book:
-    """One process's spans: the open one, and those that some keeper has not taken yet.  Bounded."""
+class SpanLog:
+    """The spans of one process, kept for delivery to the coordinators: at most `max_spans`, the oldest dropped."""
 
-    def __init__(self, ingress: str, life: str, number: int, zone: str, most: int = 1000) -> None:
-        self.open: Span | None = None
-        self.about, self.alone = (ingress, life, number, zone), False
-        self.seq, self.most, self.lost = 0, most, 0
+    def __init__(self, ingress: str, life: str, number: int, zone: str, max_spans: int = 1000) -> None:
+        self.open_span: Span | None = None
+        self.identity, self.is_alone = (ingress, life, number, zone), False
+        self.last_seq, self.max_spans, self.dropped_count = 0, max_spans, 0
         self.spans: dict[int, Span] = {}
-        self.taken: dict[str, dict[int, Moment | None]] = {}    # by keeper: the end that it has of each
-
-    def turn(self, version: int, why: str, at: Moment) -> Span:
-        """From now on it acts on this version."""
-        if self.open is not None:
-            self.spans[self.open.seq] = replace(self.open, mark=at, end=at)
-        self.seq += 1
-        ingress, life, number, zone = self.about
-        self.open = Span(ingress, life, self.seq, version, why, at, at, None, number, zone, self.alone, self.lost)
-        self.spans[self.seq] = self.open
-        if len(self.spans) > self.most:
+        self.delivered: dict[str, dict[int, TimeInterval | None]] = {}  # by coordinator: the end it has per span
+
+    def begin_span(self, version: int, why: str, at: TimeInterval) -> Span:
+        """End the open span and begin one for this version."""
+        if self.open_span is not None:
+            self.spans[self.open_span.seq] = replace(self.open_span, mark=at, end=at)
+        self.last_seq += 1
+        ingress, life, number, zone = self.identity
+        self.open_span = Span(ingress, life, self.last_seq, version, why, at, at, None, number, zone, self.is_alone,
+                              self.dropped_count)
+        self.spans[self.last_seq] = self.open_span
+        if len(self.spans) > self.max_spans:
             del self.spans[min(self.spans)]
-            self.lost += 1
-        return self.open
-
-    def mark(self, at: Moment) -> Span | None:
-        """It still does."""
-        if self.open is not None:
-            self.open = self.spans[self.open.seq] = replace(self.open, mark=at)
-        return self.open
-
-    def end(self, why: str, at: Moment) -> None:
-        """The process ends."""
-        if self.open is not None:
-            self.spans[self.open.seq] = replace(self.open, mark=at, end=at, why=self.open.why)
-            self.open = None
-
-    def due(self, keeper: str, most: int = 50) -> list[Span]:
-        """What a keeper has not taken yet; the open span each time, for its mark."""
-        had = self.taken.get(keeper, {})
-        new = [s for s in self.spans.values() if s.seq not in had or had[s.seq] != s.end]
-        out = new[:most]
-        return out if self.open is None or self.open in out else [*out, self.open]
-
-    def took(self, keeper: str, spans: Iterable[Span]) -> None:
-        had = self.taken.setdefault(keeper, {})
-        had.update((s.seq, s.end) for s in spans)
-        for seq in [s for s in had if s not in self.spans]:
-            del had[seq]
-        if len(self.taken) > 16:
-            del self.taken[next(iter(self.taken))]
-
-
-def newest(spans: Iterable[Span]) -> list[Span]:
-    """One of each, as told last, in the order of their beginnings."""
-    best: dict[tuple[str, str, int], Span] = {}
+            self.dropped_count += 1
+        return self.open_span
+
+    def update_mark(self, at: TimeInterval) -> Span | None:
+        """Record that the process still acts on the version of the open span."""
+        if self.open_span is not None:
+            self.open_span = self.spans[self.open_span.seq] = replace(self.open_span, mark=at)
+        return self.open_span
+
+    def end_span(self, why: str, at: TimeInterval) -> None:
+        """End the open span because the process ends."""
+        if self.open_span is not None:
+            self.spans[self.open_span.seq] = replace(self.open_span, mark=at, end=at, why=self.open_span.why)
+            self.open_span = None
+
+    def undelivered(self, coordinator: str, limit: int = 50) -> list[Span]:
+        """The oldest spans this coordinator does not have yet, and always the open span, for its mark."""
+        delivered = self.delivered.get(coordinator, {})
+        pending = [s for s in self.spans.values() if s.seq not in delivered or delivered[s.seq] != s.end]
+        batch = pending[:limit]
+        return batch if self.open_span is None or self.open_span in batch else [*batch, self.open_span]
+
+    def mark_delivered(self, coordinator: str, spans: Iterable[Span]) -> None:
+        """Record that the coordinator has acknowledged these spans."""
+        delivered = self.delivered.setdefault(coordinator, {})
+        delivered.update((s.seq, s.end) for s in spans)
+        for seq in [s for s in delivered if s not in self.spans]:
+            del delivered[seq]
+        if len(self.delivered) > 16:
+            del self.delivered[next(iter(self.delivered))]
+
+
+def latest_spans(spans: Iterable[Span]) -> list[Span]:
+    """The latest report of each span, ordered by begin time."""
+    latest: dict[tuple[str, str, int], Span] = {}
     for span in spans:
         key = span.ingress, span.life, span.seq
-        old = best.get(key)
+        old = latest.get(key)
         if old is None or (span.end is not None, span.mark) > (old.end is not None, old.mark):
-            best[key] = span
-    return sorted(best.values(), key=lambda s: (s.begin, s.ingress, s.life, s.seq))
+            latest[key] = span
+    return sorted(latest.values(), key=lambda s: (s.begin, s.ingress, s.life, s.seq))
 
 
 @dataclass(frozen=True, slots=True)
-class Rolled:
-    """Many old spans of one ingress by one version: between these moments it acted on it, now and then."""
+class SpanSummary:
+    """Many old spans of one ingress and version: it acted on the version intermittently in this period."""
 
     ingress: str
     version: int
-    first: Moment
-    last: Moment
+    first: TimeInterval
+    last: TimeInterval
     spans: int
 
 
-def roll(spans: Iterable[Span], before: Iterable[Rolled] = ()) -> list[Rolled]:
-    """Spans that make room, added to what was rolled up before."""
-    out = {(r.ingress, r.version): r for r in before}
+def summarize_spans(spans: Iterable[Span], summaries: Iterable[SpanSummary] = ()) -> list[SpanSummary]:
+    """Merge spans that are about to be discarded into the existing summaries."""
+    merged = {(summary.ingress, summary.version): summary for summary in summaries}
     for span in spans:
-        end, old = span.end or span.mark, out.get((span.ingress, span.version))
-        old = old or Rolled(span.ingress, span.version, span.begin, end, 0)
-        out[span.ingress, span.version] = replace(old, first=min(old.first, span.begin), last=max(old.last, end),
-                                                  spans=old.spans + 1)
-    return sorted(out.values(), key=lambda r: (r.ingress, r.version))
+        end, old = span.end or span.mark, merged.get((span.ingress, span.version))
+        old = old or SpanSummary(span.ingress, span.version, span.begin, end, 0)
+        merged[span.ingress, span.version] = replace(old, first=min(old.first, span.begin), last=max(old.last, end),
+                                                     spans=old.spans + 1)
+    return sorted(merged.values(), key=lambda summary: (summary.ingress, summary.version))
 
 
-def rolled_at(rolled: Iterable[Rolled], ingress: str, when: Moment) -> Answer | None:
-    """What a rolled-up time tells: versions that it may have acted on, never more; none where it tells nothing."""
-    inside = [r for r in rolled if r.ingress == ingress and r.first[0] <= when[1] and when[0] <= r.last[1]]
-    if not inside:
+def summarized_versions_at(summaries: Iterable[SpanSummary], ingress: str, when: TimeInterval) -> Answer | None:
+    """The versions the ingress may have acted on by the summaries, never a certain answer; None if none applies."""
+    matching = [s for s in summaries if s.ingress == ingress and s.first[0] <= when[1] and when[0] <= s.last[1]]
+    if not matching:
         return None
-    count = sum(r.spans for r in inside)
-    return Answer(ingress, tuple(sorted(r.version for r in inside)), f"{count} old spans are rolled up")
+    count = sum(summary.spans for summary in matching)
+    return Answer(ingress, tuple(sorted(summary.version for summary in matching)),
+                  f"{count} old spans are summarized")
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What may have been acted on: `versions` by processes that may have been at it then; `unknown` tells why
-    that is not all, or empty."""
+    """The versions an ingress may have acted on at a time.
+
+    `unknown` says why the list may be incomplete; empty if it is complete.
+    """
 
     ingress: str
     versions: tuple[int, ...]
     unknown: str = ""
 
     @property
-    def sure(self) -> bool:
+    def is_certain(self) -> bool:
         return len(self.versions) == 1 and not self.unknown
 
 
-def at_time(spans: Iterable[Span], ingress: str, when: Moment) -> Answer:
-    """Which version an ingress may have acted on at a moment, and whether that is all.
+def versions_at(spans: Iterable[Span], ingress: str, when: TimeInterval) -> Answer:
+    """Which versions an ingress may have acted on at a time, and whether the list is complete.
 
-    OUT is left out where something was acted on as well: nothing is sent then.
+    NO_VERSION is left out if there is another version, because the ingress sends nothing while it has none.
     """
-    mine = [s for s in newest(spans) if s.ingress == ingress]
+    ingress_spans = [s for s in latest_spans(spans) if s.ingress == ingress]
     versions: set[int] = set()
     unknown = ""
-    for life in {s.life for s in mine}:
-        ordered = sorted((s for s in mine if s.life == life), key=lambda s: s.seq)
+    for life in {s.life for s in ingress_spans}:
+        ordered = sorted((s for s in ingress_spans if s.life == life), key=lambda s: s.seq)
         for i, span in enumerate(ordered):
-            after = ordered[i + 1] if i + 1 < len(ordered) else None
+            following = ordered[i + 1] if i + 1 < len(ordered) else None
             if span.lost and i == 0 and when[0] < span.begin[1]:
-                unknown = f"{span.lost} earlier spans of life {life} are not on record"
-            if after is not None and after.seq != span.seq + 1 and not (
-                    when[1] < (span.end or span.mark)[0] or when[0] > after.begin[1]):
-                unknown = f"spans {span.seq + 1} to {after.seq - 1} of life {life} are not on record"
-            until = span.end or span.mark
-            if when[1] >= span.begin[0] and when[0] <= until[1]:
+                unknown = f"{span.lost} earlier spans of incarnation {life} are not on record"
+            if following is not None and following.seq != span.seq + 1 and not (
+                    when[1] < (span.end or span.mark)[0] or when[0] > following.begin[1]):
+                unknown = f"spans {span.seq + 1} to {following.seq - 1} of incarnation {life} are not on record"
+            known_until = span.end or span.mark
+            if when[1] >= span.begin[0] and when[0] <= known_until[1]:
                 versions.add(span.version)
-            elif span.end is None and when[0] > until[1] and not _reborn(mine, span, when):
+            elif span.end is None and when[0] > known_until[1] and not _is_succeeded(ingress_spans, span, when):
                 versions.add(span.version)
-                unknown = f"nothing is on record of life {life} after {until[1]:.3f}"
+                unknown = f"nothing is on record of incarnation {life} after {known_until[1]:.3f}"
     if not versions and not unknown:
-        unknown = "no process of it is on record then"
-    return Answer(ingress, tuple(sorted(versions - {OUT} if versions - {OUT} else versions)), unknown)
+        unknown = "no process of this ingress is on record at that time"
+    return Answer(ingress, tuple(sorted(versions - {NO_VERSION} if versions - {NO_VERSION} else versions)), unknown)
 
 
-def _reborn(mine: list[Span], span: Span, when: Moment) -> bool:
-    """Whether a later life had begun by then that found itself alone."""
+def _is_succeeded(ingress_spans: list[Span], span: Span, when: TimeInterval) -> bool:
+    """Whether a later incarnation had begun by then while no other process of the ingress was running."""
     return any(s.seq == 1 and s.alone and s.life != span.life and s.begin[0] >= span.begin[0]
-               and s.begin[1] < when[0] for s in mine)
+               and s.begin[1] < when[0] for s in ingress_spans)
 
 
-def of_set(spans: Iterable[Span], first: int, width: int, ring: int, when: Moment) -> list[Answer]:
-    """The same for each ingress that an agency comes through: `width` in a row from `first`."""
+def set_versions_at(spans: Iterable[Span], first: int, width: int, ring: int, when: TimeInterval) -> list[Answer]:
+    """`versions_at` for each ingress an agency's requests may come through: `width` consecutive from `first`."""
     spans = list(spans)
     numbers = {(first + i) % ring for i in range(width)}
     names = sorted({(s.number, s.ingress) for s in spans if s.number in numbers})
-    return [at_time(spans, name, when) for _, name in names]
+    return [versions_at(spans, name, when) for _, name in names]
 
 
-def of_version(spans: Iterable[Span], version: int) -> list[Span]:
-    """Who acted on it, and from when to when."""
-    return [s for s in newest(spans) if s.version == version]
+def spans_of_version(spans: Iterable[Span], version: int) -> list[Span]:
+    """The spans in which an ingress acted on this version."""
+    return [s for s in latest_spans(spans) if s.version == version]
--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -84,8 +84,8 @@
         self.soon = asyncio.Event()
         self.service = RpcServer("fleet", self.handle)
         self.tasks: list[asyncio.Task] = []
-        self.time = audit.FleetTime()
-        self.book = audit.Book(self.name, self.life, self.member.number, zone)
+        self.time = audit.CoordinatorClock()
+        self.book = audit.SpanLog(self.name, self.life, self.member.number, zone)
         self.before: list[audit.Span] = []      # of the life before, from its ring
         self.ring: DiskRingBuffer | None = None
         self.folder = Path(section.folder) if section.folder else None
@@ -119,7 +119,7 @@
         self.tasks = [asyncio.ensure_future(loop) for loop in (self._renew_on(), self._mark_on())]
 
     def close(self) -> None:
-        self.book.end("the process ends", self.time.at(steady()))
+        self.book.end_span("the process ends", self.time.estimate(steady()))
         self._note()
         for task in self.tasks:
             task.cancel()
@@ -150,10 +150,10 @@
         spans = []
         for line in lines:
             try:
-                spans.append(audit.span_of(json.loads(line)))
+                spans.append(audit.parse_span(json.loads(line)))
             except ValueError:
                 continue
-        self.before = audit.newest(spans)[-100:]
+        self.before = audit.latest_spans(spans)[-100:]
         path = self.folder / f"{self.name}.state"
         try:
             check, _, text = path.read_bytes().partition(b" ")
@@ -257,7 +257,7 @@
         return [{**word, "age": now - at + life / 6} for at, word in list(self.passing.values())[:MOST_PEERS]]
 
     async def _renew_by(self, name: str) -> bool:
-        spans = [*self.before[:50], *self.book.due(name)]
+        spans = [*self.before[:50], *self.book.undelivered(name)]
         asked = steady()
         try:
             answer = await self.keepers[name].call("renew", max(0.1, self._life_s() / 6), **self._word(),
@@ -270,8 +270,8 @@
             self.trouble = f"keeper {name}: {error}"
             return False
         self.suspect.pop(name, None)
-        self.time.read(asked, clock, heard)
-        self.book.took(name, [s for s in spans if s.life == self.life])
+        self.time.add_reading(asked, clock, heard)
+        self.book.mark_delivered(name, [s for s in spans if s.life == self.life])
         if self.refused != answer["refused"]:
             self.refused = answer["refused"]
             if self.refused:
@@ -429,7 +429,7 @@
                 case Shut():
                     self.ingress.life.handle(Event.BAR, time.monotonic())
                     self.ingress.host.post(api.Barred(True))
-                    self._turn(audit.OUT, action.why)
+                    self._turn(audit.NO_VERSION, action.why)
                     log.error("shut out", ingress=self.name, why=action.why)
                     self.ingress.look()
                 case Admit():
@@ -457,7 +457,7 @@
         self.acting = new
         for digest in [d for d in self.ready if d and d not in self.licence.ready]:
             del self.ready[digest]
-        if self.licence.open and (self.book.open is None or self.book.open.version != act.number):
+        if self.licence.open and (self.book.open_span is None or self.book.open_span.version != act.number):
             self._turn(act.number, act.why)
         self._keep_state()
         log.info("acts", ingress=self.name, version=act.number, why=act.why)
@@ -486,8 +486,8 @@
     # The audit
 
     def _turn(self, version: int, why: str) -> None:
-        self.book.alone = self.others == 0
-        self.book.turn(version, why, self.time.at(steady()))
+        self.book.is_alone = self.others == 0
+        self.book.begin_span(version, why, self.time.estimate(steady()))
         self._note()
 
     def _note(self) -> None:
@@ -498,7 +498,7 @@
     async def _mark_on(self) -> None:
         while True:
             await asyncio.sleep(MARK)
-            if (span := self.book.mark(self.time.at(steady()))) is not None and self.ring is not None:
+            if (span := self.book.update_mark(self.time.estimate(steady()))) is not None and self.ring is not None:
                 self.ring.append(json.dumps(span.value()).encode())
 
     # Calls of peers and of people
--- a/fennelpoint/fleet/coordinator.py
+++ b/fennelpoint/fleet/coordinator.py
@@ -261,7 +261,7 @@
         word = _word(call, now)
         spans = call.get("spans", [])
         for text in spans:
-            span = audit.span_of(text)
+            span = audit.parse_span(text)
             self.spans_due[span.ingress, span.life, span.seq] = json.dumps(text)
         if self.base is None:
             raise CallFailed(self.trouble or "it has not read the record yet")
--- a/fennelpoint/fleet/queries.py
+++ b/fennelpoint/fleet/queries.py
@@ -1,6 +1,7 @@
-"""What people and tools ask of a fleet: calls to its keepers, and the answers as lines.
+"""Client of the fleet's coordinators for operators and tools, and the answers formatted as lines of text.
 
-Each call goes to any keeper that answers; a change is made once, by its id, whichever keepers were asked.
+Configuration files and messages call a coordinator a keeper.  Any coordinator can serve a call; a change carries
+an id, so that it is made once even if it is sent to several coordinators.
 """
 
 from __future__ import annotations
@@ -13,204 +14,219 @@
 from fennelpoint.fleet import audit, state
 from fennelpoint.fleet.rpc import CallFailed, CallRefused, call_once
 
-WAIT = 8.0          # s for a keeper's answer to a person
-AGAIN = 3           # rounds over all keepers, for a change
+COORDINATOR_TIMEOUT_S = 8.0     # for an answer to an operator's command
+CHANGE_ATTEMPTS = 3             # rounds over all coordinators
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """The fleet as the keepers that answer see it."""
+class FleetView:
+    """The fleet as seen by the coordinators that answered."""
 
     fleet: state.Fleet | None
     revision: int
-    words: tuple[dict, ...]     # of each process, the newest
-    keepers: dict[str, dict]    # by name: its status, or {"error": why it has none}
-    held: str
+    reports: tuple[dict, ...]       # the latest report of each process
+    coordinators: dict[str, dict]   # by name: its status, or {"error": why there is none}
+    hold_reason: str                # why the coming version does not proceed; empty if nothing holds it
 
     @property
     def now(self) -> float:
-        return max((k["clock"] for k in self.keepers.values() if "clock" in k), default=0.0)
+        return max((status["clock"] for status in self.coordinators.values() if "clock" in status), default=0.0)
 
 
-class Fleet:
-    """Keepers by name and address."""
+class FleetClient:
+    """Calls the coordinators, given by name and address."""
 
-    def __init__(self, keepers: Mapping[str, tuple[str, int]], wait: float = WAIT) -> None:
-        self.keepers, self.wait = dict(keepers), wait
+    def __init__(self, coordinators: Mapping[str, tuple[str, int]],
+                 timeout_s: float = COORDINATOR_TIMEOUT_S) -> None:
+        self.coordinators, self.timeout_s = dict(coordinators), timeout_s
 
-    async def change(self, do: str, **fields: object) -> dict:
-        """The answer of the first keeper that makes it, or finds it made; raises CallFailed with the reason."""
-        change_id, why = secrets.token_hex(8), "no keeper is named"
-        for turn in range(AGAIN):
-            for name, address in self.keepers.items():
+    async def change(self, command: str, **fields: object) -> dict:
+        """Make a change once and return the answer of the first coordinator that has it.
+
+        Raises CallRefused if a coordinator refuses it, else CallFailed with the reason of the last failure.
+        """
+        change_id, why = secrets.token_hex(8), "no keeper is configured"
+        for attempt in range(CHANGE_ATTEMPTS):
+            for name, address in self.coordinators.items():
                 try:
-                    return await call_once(address, do, self.wait, change=change_id, **fields)
+                    return await call_once(address, command, self.timeout_s, change=change_id, **fields)
                 except CallRefused as error:
                     raise CallRefused(f"keeper {name}: {error}") from None
                 except CallFailed as error:
                     why = f"keeper {name}: {error}"
-            await asyncio.sleep(0.2 * (turn + 1))
+            await asyncio.sleep(0.2 * (attempt + 1))
         raise CallFailed(why)
 
-    async def view(self) -> View:
-        answers = await asyncio.gather(*(call_once(a, "status", self.wait) for a in self.keepers.values()),
+    async def view(self) -> FleetView:
+        """The status of all coordinators, with the newest record and process reports among them."""
+        answers = await asyncio.gather(*(call_once(a, "status", self.timeout_s) for a in self.coordinators.values()),
                                        return_exceptions=True)
-        keepers = {name: {"error": str(answer)} if isinstance(answer, BaseException) else answer
-                   for name, answer in zip(self.keepers, answers, strict=True)}
-        best = max((k for k in keepers.values() if "fleet" in k), key=lambda k: k["revision"], default=None)
-        words: dict[tuple[str, str], dict] = {}
-        for keeper in keepers.values():
-            for word in keeper.get("words", ()):
-                old = words.get((word["name"], word["life"]))
-                if old is None or word["age"] < old["age"]:
-                    words[word["name"], word["life"]] = word
-        return View(state.read(best["fleet"]) if best is not None else None,
-                    best["revision"] if best is not None else 0, tuple(words.values()), keepers,
-                    best["held"] if best is not None else "")
+        coordinators = {name: {"error": str(answer)} if isinstance(answer, BaseException) else answer
+                        for name, answer in zip(self.coordinators, answers, strict=True)}
+        latest = max((status for status in coordinators.values() if "fleet" in status),
+                     key=lambda status: status["revision"], default=None)
+        reports: dict[tuple[str, str], dict] = {}
+        for status in coordinators.values():
+            for report in status.get("words", ()):
+                old = reports.get((report["name"], report["life"]))
+                if old is None or report["age"] < old["age"]:
+                    reports[report["name"], report["life"]] = report
+        return FleetView(state.read(latest["fleet"]) if latest is not None else None,
+                         latest["revision"] if latest is not None else 0, tuple(reports.values()), coordinators,
+                         latest["held"] if latest is not None else "")
 
     async def spans(self, ingress: str | None = None) -> list[audit.Span]:
-        """What all keepers that answer have on record; raises CallFailed where none does."""
-        return (await self.record(ingress))[0]
-
-    async def record(self, ingress: str | None = None) -> tuple[list[audit.Span], list[audit.Rolled]]:
-        """The same, and what is rolled up."""
-        answers = await asyncio.gather(*(call_once(a, "spans", self.wait, ingress=ingress)
-                                         for a in self.keepers.values()), return_exceptions=True)
-        good = [a for a in answers if not isinstance(a, BaseException)]
-        if not good:
-            raise CallFailed(f"no keeper answers: {answers[0] if answers else 'none is named'}")
-        rolled: dict[tuple[str, int], audit.Rolled] = {}
-        for answer in good:
+        """The audit spans of all coordinators that answer; raises CallFailed if none does."""
+        return (await self.spans_and_summaries(ingress))[0]
+
+    async def spans_and_summaries(
+            self, ingress: str | None = None) -> tuple[list[audit.Span], list[audit.SpanSummary]]:
+        """The audit spans and the summaries of discarded spans; raises CallFailed if no coordinator answers."""
+        results = await asyncio.gather(*(call_once(a, "spans", self.timeout_s, ingress=ingress)
+                                         for a in self.coordinators.values()), return_exceptions=True)
+        answers = [result for result in results if not isinstance(result, BaseException)]
+        if not answers:
+            raise CallFailed(f"no keeper answers: {results[0] if results else 'none is configured'}")
+        summaries: dict[tuple[str, int], audit.SpanSummary] = {}
+        for answer in answers:
             for row in answer.get("rolled", ()):
-                one = audit.Rolled(**{**row, "first": tuple(row["first"]), "last": tuple(row["last"])})
-                old = rolled.get((one.ingress, one.version), one)
-                rolled[one.ingress, one.version] = audit.Rolled(
-                    one.ingress, one.version, min(old.first, one.first), max(old.last, one.last),
-                    max(old.spans, one.spans))
-        return (audit.newest(audit.span_of(value) for answer in good for value in answer["spans"]),
-                list(rolled.values()))
+                new = audit.SpanSummary(**{**row, "first": tuple(row["first"]), "last": tuple(row["last"])})
+                old = summaries.get((new.ingress, new.version), new)
+                summaries[new.ingress, new.version] = audit.SpanSummary(
+                    new.ingress, new.version, min(old.first, new.first), max(old.last, new.last),
+                    max(old.spans, new.spans))
+        return (audit.latest_spans(audit.parse_span(value) for answer in answers for value in answer["spans"]),
+                list(summaries.values()))
 
 
-# Lines
+# Formatting
 
 OK, BEHIND, OUT, UNKNOWN = "ok", "behind", "out", "unknown"
 
 
-def rank(word: Mapping, fleet: state.Fleet) -> str:
-    """How an ingress stands, by what it last said."""
-    if word["age"] > 2 * fleet.bounds.licence_s:
+def process_status(report: Mapping, fleet: state.Fleet) -> str:
+    """The status of an ingress process by its last report: OK, BEHIND, OUT or UNKNOWN."""
+    if report["age"] > 2 * fleet.bounds.licence_s:
         return UNKNOWN
-    if word["phase"] == "shut out" or word["acting"] < 0:
+    if report["phase"] == "shut out" or report["acting"] < 0:
         return OUT
-    return OK if word["acting"] == fleet.target.number else BEHIND
+    return OK if report["acting"] == fleet.target.number else BEHIND
 
 
-def status_lines(view: View) -> list[str]:
-    """A line a keeper, one of the version, a line an ingress; stragglers first."""
-    out = []
-    for name, keeper in view.keepers.items():
-        if "error" in keeper:
-            out.append(f"keeper {name}: no answer: {keeper['error']}")
+def status_lines(view: FleetView) -> list[str]:
+    """A line for each coordinator, for the version and for each ingress process; the worst status first."""
+    lines = []
+    for name, answer in view.coordinators.items():
+        if "error" in answer:
+            lines.append(f"keeper {name}: no answer: {answer['error']}")
         else:
-            age = f", record read {keeper['age']:.1f} s ago" if "age" in keeper else ""
-            out.append(f"keeper {name}: {'votes' if keeper['votes'] else 'has no vote'}, life {keeper['life']}{age}"
-                       + (f": {keeper['trouble']}" if keeper["trouble"] else ""))
-            out += [f"keeper {name}: {text}" for text in keeper["taken"].values()]
+            age = f", record read {answer['age']:.1f} s ago" if "age" in answer else ""
+            lines.append(f"keeper {name}: {'votes' if answer['votes'] else 'has no vote'}, life {answer['life']}{age}"
+                         + (f": {answer['trouble']}" if answer["trouble"] else ""))
+            lines += [f"keeper {name}: {text}" for text in answer["taken"].values()]
     if (fleet := view.fleet) is None:
-        return [*out, "there is no record yet"]
+        return [*lines, "there is no record yet"]
     version, coming = fleet.version, fleet.coming
-    out.append(f"record {fleet.record}, revision {view.revision}: version {version.number} in force"
-               + (f" ({version.kind}, {version.who}: {version.why})" if version.number else ""))
+    lines.append(f"record {fleet.record}, revision {view.revision}: version {version.number} in force"
+                 + (f" ({version.kind}, {version.who}: {version.why})" if version.number else ""))
     if coming is not None:
-        out.append(f"version {coming.number} is {coming.state} ({coming.kind}, {coming.who}: {coming.why})"
-                   + (f"; held: {view.held}" if view.held else ""))
+        lines.append(f"version {coming.number} is {coming.state} ({coming.kind}, {coming.who}: {coming.why})"
+                     + (f"; held: {view.hold_reason}" if view.hold_reason else ""))
     rows = []
-    for word in view.words:
-        if word["name"] in fleet.members:
-            rows.append((rank(word, fleet), word))
-    said = {word["name"] for _, word in rows}
+    for report in view.reports:
+        if report["name"] in fleet.members:
+            rows.append((process_status(report, fleet), report))
+    reporting = {report["name"] for _, report in rows}
     order = {OUT: 0, BEHIND: 1, UNKNOWN: 2, OK: 3}
-    for name in sorted(set(fleet.members) - said):
-        out.append(f"{name:<12} unknown   said nothing to a keeper that answers")
-    for stand, word in sorted(rows, key=lambda row: (order[row[0]], row[1]["name"], row[1]["life"])):
-        acting = f"version {word['acting']}" if word["acting"] >= 0 else "no version"
-        fault = f"; {word['fault']}" if word["fault"] else ""
-        out.append(f"{word['name']:<12} {stand:<9} {acting} for {word.get('since', 0.0):.0f} s, {word['phase']}, "
-                   f"zone {word['zone']}, heard {word['age']:.1f} s ago{fault}")
-    return out
-
-
-def status_value(view: View) -> dict:
-    """The same for programs."""
+    for name in sorted(set(fleet.members) - reporting):
+        lines.append(f"{name:<12} unknown   no report at any keeper that answers")
+    for status, report in sorted(rows, key=lambda row: (order[row[0]], row[1]["name"], row[1]["life"])):
+        acting = f"version {report['acting']}" if report["acting"] >= 0 else "no version"
+        fault = f"; {report['fault']}" if report["fault"] else ""
+        lines.append(f"{report['name']:<12} {status:<9} {acting} for {report.get('since', 0.0):.0f} s, "
+                     f"{report['phase']}, zone {report['zone']}, heard {report['age']:.1f} s ago{fault}")
+    return lines
+
+
+def status_value(view: FleetView) -> dict:
+    """The same information as `status_lines`, as a JSON value."""
     fleet = view.fleet
-    return {"revision": view.revision, "fleet": fleet.value() if fleet else None, "held": view.held,
-            "keepers": view.keepers, "ingresses": [
-                {**word, "stand": rank(word, fleet)} for word in view.words] if fleet else []}
+    return {"revision": view.revision, "fleet": fleet.value() if fleet else None, "held": view.hold_reason,
+            "keepers": view.coordinators, "ingresses": [
+                {**report, "stand": process_status(report, fleet)} for report in view.reports] if fleet else []}
 
 
-def worst(view: View) -> str:
-    """How the fleet stands: that of the worst of its members."""
+def worst_status(view: FleetView) -> str:
+    """The worst status of any member; OUT is the worst, then BEHIND and UNKNOWN."""
     if view.fleet is None:
         return UNKNOWN
-    stands = [rank(word, view.fleet) for word in view.words if word["name"] in view.fleet.members]
-    stands += [UNKNOWN] * len(set(view.fleet.members) - {word["name"] for word in view.words})
-    return next((stand for stand in (OUT, BEHIND, UNKNOWN) if stand in stands), OK)
+    statuses = [process_status(report, view.fleet) for report in view.reports
+                if report["name"] in view.fleet.members]
+    statuses += [UNKNOWN] * len(set(view.fleet.members) - {report["name"] for report in view.reports})
+    return next((status for status in (OUT, BEHIND, UNKNOWN) if status in statuses), OK)
+
 
+def explain_lines(view: FleetView, name: str, own_status: Mapping | None) -> list[str]:
+    """Why an ingress is behind or out, and what happens next.
 
-def explain_lines(view: View, name: str, told: Mapping | None) -> list[str]:
-    """Why an ingress is behind or out, and what will happen when; `told` is its own word, none: no answer."""
+    `own_status` is what the ingress itself answers; None if it does not answer.
+    """
     if (fleet := view.fleet) is None:
         return ["no keeper that answers has read the record"]
     if name not in fleet.members:
-        return [f"{name} is no member: {', '.join(sorted(fleet.members)) or 'there is none'}"]
-    life_s, out = fleet.bounds.licence_s, []
-    mine = [word for word in view.words if word["name"] == name]
-    for word in mine:
-        stand = rank(word, fleet)
-        out.append(f"{name} is {stand}: it said {word['age']:.1f} s ago that it acts on "
-                   + (f"version {word['acting']}" if word["acting"] >= 0 else "nothing"))
-        if word["fault"]:
-            out.append(f"it can't go over to the version that is coming: {word['fault']}")
-    if not mine:
-        out.append(f"{name} said nothing to a keeper that answers")
-    if told is None:
-        out.append("it does not answer us itself")
+        return [f"{name} is not a member; members: {', '.join(sorted(fleet.members)) or 'none'}"]
+    lease_s, lines = fleet.bounds.licence_s, []
+    reports = [report for report in view.reports if report["name"] == name]
+    for report in reports:
+        status = process_status(report, fleet)
+        lines.append(f"{name} is {status}: it reported {report['age']:.1f} s ago that it acts on "
+                     + (f"version {report['acting']}" if report["acting"] >= 0 else "no version"))
+        if report["fault"]:
+            lines.append(f"it can't switch to the coming version: {report['fault']}")
+    if not reports:
+        lines.append(f"no keeper that answers has a report from {name}")
+    if own_status is None:
+        lines.append("the ingress itself does not answer")
     else:
-        if told["open"]:
-            left = max(told["left"], told["static_left"])
-            out.append(f"it may send for {left:.1f} s more without another answer, by {told['source']}")
+        if own_status["open"]:
+            remaining_s = max(own_status["left"], own_status["static_left"])
+            lines.append(f"it may send for another {remaining_s:.1f} s without renewal, by {own_status['source']}")
         else:
-            out.append(f"it sends nothing: {told['reason']}")
+            lines.append(f"it sends nothing: {own_status['reason']}")
         for key in ("trouble", "refused", "foreign"):
-            if told[key]:
-                out.append(str(told[key]))
+            if own_status[key]:
+                lines.append(str(own_status[key]))
     coming = fleet.coming
     if coming is not None and coming.state == state.OFFERED:
-        out.append(f"version {coming.number} is offered: it closes once all have it, or after "
-                   f"{fleet.bounds.settle_s:g} s without those that may be out, and is halted after "
-                   f"{2 * fleet.bounds.settle_s:g} s where they may not")
+        lines.append(f"version {coming.number} is offered: it closes once all have it, or after "
+                     f"{fleet.bounds.settle_s:g} s without those that may be shut out; it is halted after "
+                     f"{2 * fleet.bounds.settle_s:g} s if they may not be shut out")
     elif coming is not None:
-        out.append(f"version {coming.number} closes: whoever has not gone over is shut out {life_s:g} s after "
-                   "its last licence, unless so many are cut off that they may not be out at once")
-    out.append(f"without a licence it is shut out; it is back with the first answer of a keeper, or of a peer "
-               f"that has one; a licence lives for {life_s:g} s")
-    return out
+        lines.append(f"version {coming.number} is closing: an ingress that has not switched to it is shut out "
+                     f"{lease_s:g} s after its last lease, unless so many are cut off that they may not all be "
+                     "out at once")
+    lines.append(f"without a lease it is shut out; the first answer of a keeper, or of a peer that holds a lease, "
+                 f"admits it again; a lease lasts {lease_s:g} s")
+    return lines
 
 
 def answer_lines(answers: Sequence[audit.Answer]) -> list[str]:
-    out = []
+    """One line for each ingress: the versions it may have acted on."""
+    lines = []
     for answer in answers:
-        acted = [f"version {v}" if v >= 0 else "nothing (shut out)" for v in answer.versions]
-        text = " or ".join(acted) or "not known"
-        out.append(f"{answer.ingress:<12} {text}" + (f"; unknown: {answer.unknown}" if answer.unknown else ""))
-    return out
+        versions = [f"version {version}" if version >= 0 else "nothing (shut out)" for version in answer.versions]
+        text = " or ".join(versions) or "not known"
+        lines.append(f"{answer.ingress:<12} {text}" + (f"; unknown: {answer.unknown}" if answer.unknown else ""))
+    return lines
 
 
-def span_lines(spans: Sequence[audit.Span], clock) -> list[str]:
-    """A line a span; `clock` makes a time of a Unix time."""
-    out = []
+def span_lines(spans: Sequence[audit.Span], format_time) -> list[str]:
+    """One line for each span; `format_time` turns a Unix time into text."""
+    lines = []
     for span in spans:
-        until = f"to {clock(span.end[1])}" if span.end is not None else f"at least to {clock(span.mark[0])}"
+        until = (f"to {format_time(span.end[1])}" if span.end is not None
+                 else f"at least to {format_time(span.mark[0])}")
         acted = f"version {span.version}" if span.version >= 0 else "shut out"
-        out.append(f"{span.ingress:<12} {span.life} {acted:<11} from {clock(span.begin[0])} {until}: {span.why}")
-    return out
+        lines.append(f"{span.ingress:<12} {span.life} {acted:<11} from {format_time(span.begin[0])} {until}: "
+                     f"{span.why}")
+    return lines
--- a/fennelpoint/fleet/store.py
+++ b/fennelpoint/fleet/store.py
@@ -176,13 +176,13 @@
     def _roll(self, ingress: str, count: int) -> None:
         """The oldest spans of an ingress become a row a version."""
         # Loaded here: the whole system's store keeps no spans, and starts sooner without.
-        from fennelpoint.fleet.audit import Rolled, roll, span_of
+        from fennelpoint.fleet.audit import SpanSummary, parse_span, summarize_spans
 
         rows = list(self.db.execute("SELECT life, seq, span FROM spans WHERE ingress = ? "
                                     "ORDER BY json_extract(span, '$.begin[0]') LIMIT ?", (ingress, count)))
-        before = [Rolled(**_moments(json.loads(row[0]))) for row in self.db.execute(
+        before = [SpanSummary(**_moments(json.loads(row[0]))) for row in self.db.execute(
             "SELECT row FROM rolled WHERE ingress = ?", (ingress,))]
-        for row in roll([span_of(json.loads(text)) for _, _, text in rows], before):
+        for row in summarize_spans([parse_span(json.loads(text)) for _, _, text in rows], before):
             self.db.execute("INSERT OR REPLACE INTO rolled VALUES (?, ?, ?)",
                             (ingress, row.version, json.dumps(asdict(row))))
         self.db.executemany("DELETE FROM spans WHERE ingress = ? AND life = ? AND seq = ?",
--- a/fennelpoint/testing/fleet_demo.py
+++ b/fennelpoint/testing/fleet_demo.py
@@ -49,7 +49,7 @@
             end = span.end or span.mark
             say(f"  {acted:<10} for {end[0] - span.begin[0]:5.1f} s: {span.why}")
         spans = await rig.fleet.spans()
-        shares = [len(audit.of_version(spans, v)) for v in (1, 2, 3)]
+        shares = [len(audit.spans_of_version(spans, v)) for v in (1, 2, 3)]
         say(f"\nspans on record by version: {shares}")
         found = faults(rig.seen)
         say(f"{len(rig.seen.arrivals)} requests came to nodes; by the nodes' own records: " + (
--- a/fennelpoint/testing/process_cluster.py
+++ b/fennelpoint/testing/process_cluster.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from random import Random
 
-from fennelpoint.fleet.queries import Fleet, View
+from fennelpoint.fleet.queries import FleetClient, FleetView
 from fennelpoint.fleet.rpc import CallFailed
 from fennelpoint.testing.links import BACK, THERE, Link, Trouble
 from fennelpoint.testing.observer import KINDS, Arrival, Ask, Observer
@@ -152,7 +152,7 @@
         self.folder = tempfile.TemporaryDirectory(prefix="larchwing-rig-", dir=os.environ.get("LARCHWING_RIG_FOLDER"))
         self.tasks: list[asyncio.Task] = []
         self.stopped: set[str] = set()
-        self.fleet = Fleet(self.keepers, wait=3.0)
+        self.fleet = FleetClient(self.keepers, timeout_s=3.0)
         self.txn, self.etcd = 0, None
 
     async def __aenter__(self) -> Rig:
@@ -404,7 +404,7 @@
                 pass
             await asyncio.sleep(POLL)
 
-    async def view(self) -> View:
+    async def view(self) -> FleetView:
         return await self.fleet.view()
 
     async def until_level(self, seconds: float = 20.0) -> None:
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -164,9 +164,10 @@
             assert code == 0 and {span["version"] for span in json.loads(out)} >= {0, 1, -1}
             code, out, _ = await larchwing("audit", *config, "--at", "2000-01-01T00:00:00Z", "--agency", "3+2")
             assert code == 4 and [line.split()[0] for line in out.splitlines()] == ["n0", "n3"]
-            assert "unknown: no process of it is on record then" in out
+            assert "unknown: no process of this ingress is on record at that time" in out
             assert (await larchwing("audit", *config, "--at", "never"))[0] == 2
-            assert (await larchwing("explain", "n9", *config))[1].startswith("n9 is no member: n0, n1, n2, n3")
+            assert (await larchwing("explain", "n9", *config))[1].startswith(
+                "n9 is not a member; members: n0, n1, n2, n3")
             assert faults(rig.seen) == {}
 
     run(test(), 90.0)
--- a/tests/fleet/test_coordinators_lost.py
+++ b/tests/fleet/test_coordinators_lost.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from fennelpoint.fleet.queries import rank
+from fennelpoint.fleet.queries import process_status
 from fennelpoint.testing.ingress_harness import run
 from fennelpoint.testing.links import BACK, THERE
 from fennelpoint.testing.observer import faults, served
@@ -14,7 +14,7 @@
 
 async def stands(rig: Rig) -> dict[str, str]:
     view = await rig.view()
-    return {word["name"]: rank(word, view.fleet) for word in view.words}
+    return {report["name"]: process_status(report, view.fleet) for report in view.reports}
 
 
 def test_all_keepers_killed_nobody_is_shut_out_and_they_come_back_with_what_is_left():
@@ -26,7 +26,7 @@
             before = time.monotonic()
             await asyncio.sleep(1.0)
             lost_at = time.monotonic()
-            life = (await rig.view()).keepers["k0"]["life"]
+            life = (await rig.view()).coordinators["k0"]["life"]
             await rig.kill(*rig.keepers)
             await asyncio.sleep(3.0 * L)
             assert [await rig.ready(name) for name in rig.members] == [True] * 6
@@ -37,8 +37,8 @@
             await rig.restart(*rig.keepers)
             await rig.until_forced(await rig.publish())
             view = await rig.view()
-            assert [view.keepers[k]["votes"] for k in ("k0", "k1", "k2")] == [True] * 3
-            assert view.keepers["k0"]["life"] > life and view.fleet.version.number == 2
+            assert [view.coordinators[k]["votes"] for k in ("k0", "k1", "k2")] == [True] * 3
+            assert view.coordinators["k0"]["life"] > life and view.fleet.version.number == 2
             # All come back without theirs, founded anew: a lower version is taken from nobody.
             await rig.kill(*rig.keepers)
             for name in rig.keepers:
@@ -106,7 +106,7 @@
             view = await rig.view()
             assert await rig.ready("n2") and await rig.ready("n3")
             if view.fleet.coming is not None:   # else both had heard of it in time
-                assert view.fleet.coming.number == number and "may still act on version 1" in view.held
+                assert view.fleet.coming.number == number and "may still act on version 1" in view.hold_reason
             rig.heal()
             await rig.until_forced(number)
             assert faults(rig.seen) == {}
--- a/tests/fleet/test_routes_version.py
+++ b/tests/fleet/test_routes_version.py
@@ -5,7 +5,7 @@
 
 from describing import described_routes
 
-from fennelpoint.fleet.queries import Fleet
+from fennelpoint.fleet.queries import FleetClient
 from fennelpoint.testing import SETTINGS, Backend, Count, List, member, read_message
 from fennelpoint.testing.ingress_harness import run
 from fennelpoint.testing.process import Command, IngressProcess, free_port
@@ -25,7 +25,7 @@
         ingress = IngressProcess(SETTINGS, await discovery.start(), await count.start(), path)
         ingress.add_section(f'[fleet]\nkeepers = ["k0=127.0.0.1:{port}"]\nlisten = "127.0.0.1:{address}"\n'
                             f"folder = {json.dumps(str(tmp_path / 'state'))}\n")
-        fleet = Fleet({"k0": ("127.0.0.1", port)})
+        fleet = FleetClient({"k0": ("127.0.0.1", port)})
         try:
             await ingress.start()
 
