--- a/benchmarks/fleet_record.py
+++ b/benchmarks/fleet_record.py
@@ -101,7 +101,7 @@
         wrong = unknown = 0
         for arrival in rig.seen.arrivals[:requests]:
             answer = versions_at(spans, arrival.ingress, (arrival.at + offset, arrival.at + offset))
-            unknown += not answer.sure
+            unknown += not answer.is_certain
             wrong += rig.seen.version(arrival) not in answer.versions and not answer.unknown
         print(f"audit: {requests} requests over {version} versions, one ingress shut out: {wrong} wrong, {unknown} "
               f"not sure ({unknown / requests:.2%}), {len(spans)} spans")
