--- a/benchmarks/fleet_plans.py
+++ b/benchmarks/fleet_plans.py
@@ -12,7 +12,7 @@
 from multiprocessing import Pool
 
 from fennelpoint.testing.fault_plans import draw_plan, play, stop_and_wake
-from fennelpoint.testing.observer import faults, served
+from fennelpoint.testing.observer import faults, served_share
 from fennelpoint.testing.process_cluster import Rig, Shape
 
 SECONDS, FAULTS = 7.0, 6
@@ -22,14 +22,15 @@
     shape = Shape(ingresses=9)
     rig = await play(seed, shape, SECONDS, FAULTS)
     words = ", ".join(f"{f.kind} {len(f.names)}" for f in draw_plan(seed, shape, SECONDS, FAULTS))
-    return faults(rig.seen), len(rig.seen.arrivals), len(rig.seen.forced), served(rig.seen, 0.0, 1e12), words
+    return faults(rig.seen), len(rig.seen.arrivals), len(rig.seen.enforced), served_share(rig.seen, 0.0, 1e12), words
 
 
 async def _stops(seed: int, tries: int) -> tuple[dict, int, int, float, str]:
     async with Rig(Shape(ingresses=6), seed) as rig:
         rig.load(4.0)
         await stop_and_wake(rig, tries)
-        return faults(rig.seen), len(rig.seen.arrivals), len(rig.seen.forced), served(rig.seen, 0.0, 1e12), "stops"
+        return (faults(rig.seen), len(rig.seen.arrivals), len(rig.seen.enforced),
+                served_share(rig.seen, 0.0, 1e12), "stops")
 
 
 def _play(job: tuple[str, int, int]) -> tuple[int, dict, int, int, float, str]:
--- a/fennelpoint/testing/fault_plans.py
+++ b/fennelpoint/testing/fault_plans.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from fennelpoint.fleet.rpc import CallFailed
-from fennelpoint.testing.links import BACK, THERE, Link, Trouble
+from fennelpoint.testing.links import FROM_TARGET, TO_TARGET, Link, LinkFault
 from fennelpoint.testing.process_cluster import Rig, Shape
 
 
@@ -66,15 +66,15 @@
         case "keepers cut":
             links = rig.links(names[0], [*rig.keepers, *rig.members])
     for link in links:
-        link.be(Trouble(cut={THERE, BACK}))
+        link.inject(LinkFault(cut={TO_TARGET, FROM_TARGET}))
     if kind in ("deaf", "unheard"):
         links = [link for name in names for link in rig.members[name].links.values()]
         for link in links:
-            link.be(Trouble(cut={BACK if kind == "deaf" else THERE}))
+            link.inject(LinkFault(cut={FROM_TARGET if kind == "deaf" else TO_TARGET}))
     elif kind == "slow":
         links = [link for name in names for link in rig.members[name].links.values()]
         for link in links:
-            link.be(Trouble(delay_s=0.05, jitter_s=0.3))
+            link.inject(LinkFault(delay_s=0.05, jitter_s=0.3))
     elif kind == "resets":
         for name in names:
             for link in rig.members[name].links.values():
--- a/fennelpoint/testing/links.py
+++ b/fennelpoint/testing/links.py
@@ -1,7 +1,7 @@
-"""Links between processes that can be broken: relays on loopback, for TCP and for datagrams.
+"""Relays on loopback that inject network faults between processes, for TCP and for datagrams.
 
-A link that is cut holds what comes, as a network would that loses packets and sends them again: what was under
-way arrives when it is healed, if both ends still wait.
+A TCP link that is cut holds the data it receives, like a network that loses and retransmits packets: data in
+flight arrives after the link is healed, if both ends still keep the connection.
 """
 
 from __future__ import annotations
@@ -10,28 +10,28 @@
 from dataclasses import dataclass, field
 from random import Random
 
-THERE, BACK = "there", "back"
+TO_TARGET, FROM_TARGET = "there", "back"
 
 
 @dataclass(slots=True)
-class Trouble:
-    """What a link does to what passes."""
+class LinkFault:
+    """The faults that a link injects; the ratios apply to datagrams."""
 
-    cut: set[str] = field(default_factory=set)      # THERE, BACK or both
+    cut: set[str] = field(default_factory=set)      # TO_TARGET, FROM_TARGET or both
     delay_s: float = 0.0
     jitter_s: float = 0.0
-    bytes_s: float = 0.0    # 0: as fast as it goes
-    lose: float = 0.0       # of datagrams
-    double: float = 0.0
-    reorder: float = 0.0
+    bytes_per_s: float = 0.0    # 0: unlimited
+    loss_ratio: float = 0.0
+    duplicate_ratio: float = 0.0
+    reorder_ratio: float = 0.0
 
 
 class Link:
     """A TCP relay to one address."""
 
-    def __init__(self, name: str, target: tuple[str, int], draw: Random) -> None:
-        self.name, self.target, self.draw = name, target, draw
-        self.trouble, self.healed = Trouble(), asyncio.Event()
+    def __init__(self, name: str, target: tuple[str, int], random: Random) -> None:
+        self.name, self.target, self.random = name, target, random
+        self.fault, self.healed = LinkFault(), asyncio.Event()
         self.healed.set()
         self.pairs: set[tuple[asyncio.StreamWriter, asyncio.StreamWriter]] = set()
         self.tasks: set[asyncio.Task] = set()
@@ -42,16 +42,16 @@
         self.address = self.server.sockets[0].getsockname()
         return self.address
 
-    def be(self, trouble: Trouble) -> None:
-        """From now on."""
-        self.trouble = trouble
-        self.healed.clear() if trouble.cut else self.healed.set()
+    def inject(self, fault: LinkFault) -> None:
+        """Replace the current fault by this one."""
+        self.fault = fault
+        self.healed.clear() if fault.cut else self.healed.set()
 
     def heal(self) -> None:
-        self.be(Trouble())
+        self.inject(LinkFault())
 
     def reset(self) -> None:
-        """Every connection breaks at once."""
+        """Abort every connection."""
         for pair in list(self.pairs):
             for writer in pair:
                 writer.transport.abort()
@@ -61,13 +61,13 @@
         self.tasks.add(task)
         pair = None
         try:
-            while self.trouble.cut:     # held half open: nobody answers
+            while self.fault.cut:     # the connection stays half open, without an answer
                 await self.healed.wait()
-            there_reader, there_writer = await asyncio.open_connection(*self.target)
-            pair = writer, there_writer
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            pair = writer, target_writer
             self.pairs.add(pair)
-            await asyncio.gather(self._pump(reader, there_writer, THERE),
-                                 self._pump(there_reader, writer, BACK))
+            await asyncio.gather(self._pump(reader, target_writer, TO_TARGET),
+                                 self._pump(target_reader, writer, FROM_TARGET))
         except (OSError, asyncio.CancelledError):
             pass
         finally:
@@ -76,18 +76,18 @@
             for end in pair or (writer,):
                 end.transport.abort()
 
-    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: str) -> None:
+    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: str) -> None:
         while data := await reader.read(1 << 16):
-            trouble = self.trouble
-            wait = trouble.delay_s + trouble.jitter_s * self.draw.random()
-            wait += len(data) / trouble.bytes_s if trouble.bytes_s else 0.0
-            if wait:
-                await asyncio.sleep(wait)
-            while way in self.trouble.cut:
+            fault = self.fault
+            delay_s = fault.delay_s + fault.jitter_s * self.random.random()
+            delay_s += len(data) / fault.bytes_per_s if fault.bytes_per_s else 0.0
+            if delay_s:
+                await asyncio.sleep(delay_s)
+            while direction in self.fault.cut:
                 await self.healed.wait()
             writer.write(data)
             await writer.drain()
-        raise ConnectionResetError     # one end has left: so does the other
+        raise ConnectionResetError     # one end closed, so close the other as well
 
     def stop(self) -> None:
         self.server.close()
@@ -97,11 +97,11 @@
 
 
 class DatagramLink(asyncio.DatagramProtocol):
-    """A relay of datagrams to one address: they may be lost, doubled, late, out of order."""
+    """A relay of datagrams to one address that may lose, duplicate, delay and reorder them."""
 
-    def __init__(self, target: tuple[str, int], draw: Random) -> None:
-        self.target, self.draw, self.trouble = target, draw, Trouble()
-        self.held: bytes | None = None
+    def __init__(self, target: tuple[str, int], random: Random) -> None:
+        self.target, self.random, self.fault = target, random, LinkFault()
+        self.held_datagram: bytes | None = None
 
     async def start(self) -> tuple[str, int]:
         loop = asyncio.get_running_loop()
@@ -109,16 +109,17 @@
         return self.transport.get_extra_info("sockname")
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        trouble, draw = self.trouble, self.draw
-        if THERE in trouble.cut or draw.random() < trouble.lose:
+        fault, random = self.fault, self.random
+        if TO_TARGET in fault.cut or random.random() < fault.loss_ratio:
             return
-        if self.held is None and draw.random() < trouble.reorder:
-            self.held = data    # it goes after the next one
+        if self.held_datagram is None and random.random() < fault.reorder_ratio:
+            self.held_datagram = data   # sent after the next one
             return
-        held, self.held = self.held, None
-        for one in (data, *((data,) if draw.random() < trouble.double else ()), *((held,) if held else ())):
-            wait = trouble.delay_s + trouble.jitter_s * draw.random()
-            asyncio.get_running_loop().call_later(wait, self._send, one)
+        held, self.held_datagram = self.held_datagram, None
+        for datagram in (data, *((data,) if random.random() < fault.duplicate_ratio else ()),
+                         *((held,) if held else ())):
+            delay_s = fault.delay_s + fault.jitter_s * random.random()
+            asyncio.get_running_loop().call_later(delay_s, self._send, datagram)
 
     def _send(self, data: bytes) -> None:
         if not self.transport.is_closing():
--- a/fennelpoint/testing/observer.py
+++ b/fennelpoint/testing/observer.py
@@ -1,23 +1,23 @@
-"""What was seen from outside: every request at a node and every answer at a client, and checks of these alone.
+"""External observations of a test fleet: requests at the nodes, answers at the clients, and checks of these alone.
 
-Which version an ingress acted on shows by the node that it sent to: each version's plan of cells sends all
-agencies to nodes of its own.  Nothing here goes by what a process says of itself.
+The node that receives a request reveals the version the ingress acted on, because the cell plan of each version
+sends all agencies to nodes of its own.  Nothing here relies on what a process reports about itself.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-KINDS = 4       # sets of nodes, taken by versions in turn
+NODE_KINDS = 4      # sets of nodes; successive versions use them in turn
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that came whole to a node."""
+    """A complete request received by a node."""
 
-    at: float       # s, of the observer's steady clock
+    at: float       # s, on the observer's monotonic clock
     ingress: str
-    kind: int       # of the nodes: the version's number, modulo KINDS
+    kind: int       # of the node: the version's number modulo NODE_KINDS
     agency: int
     txn: str
     units: float
@@ -25,111 +25,117 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """What became of a client's request."""
+class ClientRequest:
+    """A client's request and its outcome."""
 
-    sent: float
-    ended: float
+    sent_at: float
+    ended_at: float
     ingress: str
     txn: str
-    status: int     # 0: no whole answer; -1: it was never taken
+    status: int     # 0: no complete answer; -1: the request was never accepted
 
 
 @dataclass(slots=True)
 class Observer:
-    """The records of one run."""
+    """The observations of one run."""
 
     arrivals: list[Arrival] = field(default_factory=list)
-    asks: list[Ask] = field(default_factory=list)
-    published: list[tuple[float, int]] = field(default_factory=list)    # when a version could first be acted on
-    forced: list[tuple[float, int]] = field(default_factory=list)       # when a read of the record had it in force
-    excused: dict[str, list[tuple[float, float]]] = field(default_factory=dict)     # by ingress: killed, stopped
+    client_requests: list[ClientRequest] = field(default_factory=list)
+    published: list[tuple[float, int]] = field(default_factory=list)    # time from which a version could be acted on
+    enforced: list[tuple[float, int]] = field(default_factory=list)     # time when the record had it in force
+    outages: dict[str, list[tuple[float, float]]] = field(default_factory=dict)     # by ingress: killed or stopped
 
     def version(self, arrival: Arrival) -> int | None:
-        """The newest version of its kind that could be acted on by then; none where there is none."""
-        could = [0, *(number for at, number in self.published if at <= arrival.at)]
-        return max((n for n in could if n % KINDS == arrival.kind), default=None)
-
-    def excuse(self, ingress: str, begin: float, end: float) -> None:
-        self.excused.setdefault(ingress, []).append((begin, end))
-
-
-def older(seen: Observer) -> list[str]:
-    """Requests by a version that was out of force."""
-    out = []
-    for arrival in seen.arrivals:
-        force = max((number for at, number in seen.forced if at < arrival.at), default=0)
-        version = seen.version(arrival)
-        if version is None or version < force:
-            out.append(f"{arrival.ingress} sent by version {version} at {arrival.at:.3f}, and {force} was in force")
-    return out
-
-
-def three(seen: Observer) -> list[str]:
-    """Requests by a version two steps behind one that was acted on before."""
-    numbers = sorted({0, *(number for _, number in seen.published)})
-    place = {number: i for i, number in enumerate(numbers)}
-    out, most = [], 0
-    for arrival in sorted(seen.arrivals, key=lambda a: a.at):
-        at = place.get(seen.version(arrival), -1)
-        most = max(most, at)
-        if at < most - 1:
-            out.append(f"{arrival.ingress} sent by version {numbers[at]} at {arrival.at:.3f}, after "
-                       f"{numbers[most]} was acted on")
-    return out
-
-
-def back(seen: Observer) -> list[str]:
-    """Ingresses that went back a version."""
-    out, last = [], {}
-    for arrival in sorted(seen.arrivals, key=lambda a: a.at):
-        version = seen.version(arrival)
+        """The newest version with nodes of this kind that could be acted on by then; None if there is none."""
+        available = [0, *(number for at, number in self.published if at <= arrival.at)]
+        return max((n for n in available if n % NODE_KINDS == arrival.kind), default=None)
+
+    def add_outage(self, ingress: str, begin: float, end: float) -> None:
+        """Excuse lost requests of this period, in which the ingress was killed or stopped."""
+        self.outages.setdefault(ingress, []).append((begin, end))
+
+
+def outdated_versions(observer: Observer) -> list[str]:
+    """Requests sent under a version that a newer one had already replaced."""
+    findings = []
+    for arrival in observer.arrivals:
+        in_force = max((number for at, number in observer.enforced if at < arrival.at), default=0)
+        version = observer.version(arrival)
+        if version is None or version < in_force:
+            findings.append(f"{arrival.ingress} sent under version {version} at {arrival.at:.3f}, "
+                            f"while {in_force} was in force")
+    return findings
+
+
+def three_concurrent_versions(observer: Observer) -> list[str]:
+    """Requests sent under a version two or more steps behind one that was already acted on."""
+    numbers = sorted({0, *(number for _, number in observer.published)})
+    position = {number: i for i, number in enumerate(numbers)}
+    findings, newest = [], 0
+    for arrival in sorted(observer.arrivals, key=lambda a: a.at):
+        current = position.get(observer.version(arrival), -1)
+        newest = max(newest, current)
+        if current < newest - 1:
+            findings.append(f"{arrival.ingress} sent under version {numbers[current]} at {arrival.at:.3f}, after "
+                            f"{numbers[newest]} was acted on")
+    return findings
+
+
+def reverted_versions(observer: Observer) -> list[str]:
+    """Ingresses that went back to an earlier version."""
+    findings, last = [], {}
+    for arrival in sorted(observer.arrivals, key=lambda a: a.at):
+        version = observer.version(arrival)
         if version is not None and version < last.get(arrival.ingress, -1):
-            out.append(f"{arrival.ingress} went back from {last[arrival.ingress]} to {version}")
+            findings.append(f"{arrival.ingress} went back from {last[arrival.ingress]} to {version}")
         last[arrival.ingress] = max(version or 0, last.get(arrival.ingress, -1))
-    return out
+    return findings
 
 
-def passed(seen: Observer, agency: int, burst: float, rate: float, since: float, slack: float) -> list[str]:
-    """Whether an agency's units that came from then on passed a bucket: the worst stretch."""
-    level, at, worst = burst, since, 0.0
-    for arrival in sorted(seen.arrivals, key=lambda a: a.at):
+def bucket_excess(observer: Observer, agency: int, burst: float, rate: float, since: float,
+                  slack: float) -> list[str]:
+    """Whether an agency's units exceeded a token bucket by more than `slack` from a time on, and by how much."""
+    level, updated_at, worst = burst, since, 0.0
+    for arrival in sorted(observer.arrivals, key=lambda a: a.at):
         if arrival.agency == agency and arrival.at >= since:
-            level, at = min(burst, level + rate * (arrival.at - at)), arrival.at
+            level, updated_at = min(burst, level + rate * (arrival.at - updated_at)), arrival.at
             level -= arrival.units
             worst = max(worst, -level)
-    return [f"agency {agency:x}: {worst:.1f} units beyond {burst:g} + {rate:g} a s"] if worst > slack else []
+    return [f"agency {agency:x}: {worst:.1f} units beyond {burst:g} + {rate:g} per s"] if worst > slack else []
 
 
-def lost(seen: Observer) -> list[str]:
-    """Requests that were taken and have no whole answer, but for those of a process that was stopped or killed."""
-    out = []
-    for ask in seen.asks:
-        spans = seen.excused.get(ask.ingress, ())
-        if ask.status == 0 and not any(begin <= ask.ended and ask.sent <= end for begin, end in spans):
-            out.append(f"{ask.txn} at {ask.ingress}, sent {ask.sent:.3f}, no answer at {ask.ended:.3f}")
-    return out
+def lost_requests(observer: Observer) -> list[str]:
+    """Requests that were accepted without a complete answer, except while their ingress was stopped or killed."""
+    findings = []
+    for request in observer.client_requests:
+        outages = observer.outages.get(request.ingress, ())
+        if request.status == 0 and not any(
+                begin <= request.ended_at and request.sent_at <= end for begin, end in outages):
+            findings.append(f"{request.txn} at {request.ingress}, sent {request.sent_at:.3f}, "
+                            f"no answer at {request.ended_at:.3f}")
+    return findings
 
 
-def twice(seen: Observer) -> list[str]:
-    """Unsafe requests that came to nodes more than once."""
+def duplicated_requests(observer: Observer) -> list[str]:
+    """Non-idempotent requests that nodes received more than once."""
     counts: dict[str, int] = {}
-    for arrival in seen.arrivals:
+    for arrival in observer.arrivals:
         if arrival.unsafe:
             counts[arrival.txn] = counts.get(arrival.txn, 0) + 1
     return [f"{txn} ran {count} times" for txn, count in counts.items() if count > 1]
 
 
-CHECKS = {"older": older, "three": three, "back": back, "lost": lost, "twice": twice}
+CHECKS = {"older": outdated_versions, "three": three_concurrent_versions, "back": reverted_versions,
+          "lost": lost_requests, "twice": duplicated_requests}
 
 
-def faults(seen: Observer) -> dict[str, list[str]]:
-    """What each check finds; nothing where all is well."""
-    return {name: found for name, check in CHECKS.items() if (found := check(seen))}
+def faults(observer: Observer) -> dict[str, list[str]]:
+    """The findings of each check that has any."""
+    return {name: findings for name, check in CHECKS.items() if (findings := check(observer))}
 
 
-def served(seen: Observer, begin: float, end: float) -> float:
-    """Of what was asked in a stretch of time, the share that was served."""
-    asks = [ask for ask in seen.asks if begin <= ask.sent < end]
-    return sum(ask.status == 200 for ask in asks) / len(asks) if asks else 0.0
+def served_share(observer: Observer, begin: float, end: float) -> float:
+    """The share of the requests sent in a period that succeeded; 0 if there were none."""
+    requests = [request for request in observer.client_requests if begin <= request.sent_at < end]
+    return sum(request.status == 200 for request in requests) / len(requests) if requests else 0.0
 
--- a/fennelpoint/testing/process_cluster.py
+++ b/fennelpoint/testing/process_cluster.py
@@ -22,8 +22,8 @@
 
 from fennelpoint.fleet.queries import FleetClient, FleetView
 from fennelpoint.fleet.rpc import CallFailed
-from fennelpoint.testing.links import BACK, THERE, Link, Trouble
-from fennelpoint.testing.observer import KINDS, Arrival, Ask, Observer
+from fennelpoint.testing.links import FROM_TARGET, TO_TARGET, Link, LinkFault
+from fennelpoint.testing.observer import NODE_KINDS, Arrival, ClientRequest, Observer
 from fennelpoint.testing.process import Command, IngressProcess, free_port
 from fennelpoint.testing.servers import Count, List, member, ok, read_message
 from fennelpoint.testing.settings import SETTINGS
@@ -36,13 +36,13 @@
 def plan_of(kind: int, version: int = 1) -> str:
     """A plan of cells that sends every agency to the nodes of one kind."""
     cells = "".join(f'[[cells]]\nname = "k{i}"\nnodes = ["k{i}-*"]\n' + ("take = 1.0\n" if i == kind else "")
-                    for i in range(KINDS))
+                    for i in range(NODE_KINDS))
     return f"version = {version}\n{cells}"
 
 
 def content_of(number: int, plans: str = "") -> dict[str, str]:
     """What a version of that number holds: the plan of its kind of nodes."""
-    return {"cells.toml": plan_of(number % KINDS), **({"plans.toml": plans} if plans else {})}
+    return {"cells.toml": plan_of(number % NODE_KINDS), **({"plans.toml": plans} if plans else {})}
 
 
 def figures(rate: float, burst: float, ceiling_rate: float = 0.0, ceiling_burst: float = 0.0) -> str:
@@ -143,7 +143,7 @@
         self.shape, self.seed, self.draw = shape, seed, Random(seed)
         self.seen, self.count = Observer(), Count()
         self.nodes = [Node(f"k{kind}-{i}", kind, self.seen, shape.node_delay_s)
-                      for kind in range(KINDS) for i in range(shape.nodes)]
+                      for kind in range(NODE_KINDS) for i in range(shape.nodes)]
         self.members = {f"n{i}": Member(f"n{i}", i) for i in range(shape.ingresses)}
         self.keepers = {f"k{i}": ("127.0.0.1", free_port()) for i in range(shape.keepers)}
         self.keeper_links: dict[tuple[str, str], Link] = {}
@@ -317,7 +317,7 @@
             self.stopped.discard(name)
             os.kill(self._pid(name), signal.SIGCONT)
             if name in self.members:
-                self.seen.excuse(name, self.members[name].down - 0.1, time.monotonic() + 1.0)
+                self.seen.add_outage(name, self.members[name].down - 0.1, time.monotonic() + 1.0)
 
     async def kill(self, *names: str) -> None:
         """SIGKILL."""
@@ -328,7 +328,7 @@
             self.stopped.discard(name)
             if name in self.members:
                 now = time.monotonic()
-                self.seen.excuse(name, now - 0.1, now + 0.5)
+                self.seen.add_outage(name, now - 0.1, now + 0.5)
 
     async def restart(self, *names: str, ready: bool = True) -> None:
         for name in names:
@@ -368,10 +368,10 @@
                     out.append(self.keeper_links[a, b])
         return out
 
-    def cut(self, one: str, *to: str, ways: Iterable[str] = (THERE, BACK)) -> None:
+    def cut(self, one: str, *to: str, ways: Iterable[str] = (TO_TARGET, FROM_TARGET)) -> None:
         """Between one and others; `ways` as seen by who asks."""
         for link in self.links(one, to):
-            link.be(Trouble(cut=set(ways)))
+            link.inject(LinkFault(cut=set(ways)))
 
     def cut_off(self, *names: str) -> None:
         """These from all others, but not from one another."""
@@ -399,7 +399,7 @@
                 if (fleet := view.fleet) is not None:
                     if fleet.version.number not in forced:
                         forced.add(fleet.version.number)
-                        self.seen.forced.append((now, fleet.version.number))
+                        self.seen.enforced.append((now, fleet.version.number))
             except CallFailed:
                 pass
             await asyncio.sleep(POLL)
@@ -433,7 +433,7 @@
         """How long it took until it was in force; raises TimeoutError with how things stand."""
         begun = time.monotonic()
         while time.monotonic() - begun < seconds:
-            if any(n >= number for _, n in self.seen.forced):
+            if any(n >= number for _, n in self.seen.enforced):
                 return time.monotonic() - begun
             await asyncio.sleep(0.02)
         from fennelpoint.fleet.queries import status_lines
@@ -495,5 +495,5 @@
                     writer.close()
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             pass
-        self.seen.asks.append(Ask(sent, time.monotonic(), name, txn, status))
+        self.seen.client_requests.append(ClientRequest(sent, time.monotonic(), name, txn, status))
         return status
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -210,7 +210,7 @@
             await asyncio.sleep(1.5)
             until = time.monotonic() - 0.8
             spans = await rig.fleet.spans()
-            client_sent_at = {ask.txn: ask.sent for ask in rig.seen.asks}
+            client_sent_at = {request.txn: request.sent_at for request in rig.seen.client_requests}
             wrong, unknown, count = [], 0, 0
             for arrival in rig.seen.arrivals:
                 if arrival.at < until:
--- a/tests/fleet/test_coordinators_lost.py
+++ b/tests/fleet/test_coordinators_lost.py
@@ -5,8 +5,8 @@
 
 from fennelpoint.fleet.queries import process_status
 from fennelpoint.testing.ingress_harness import run
-from fennelpoint.testing.links import BACK, THERE
-from fennelpoint.testing.observer import faults, served
+from fennelpoint.testing.links import FROM_TARGET, TO_TARGET
+from fennelpoint.testing.observer import faults, served_share
 from fennelpoint.testing.process_cluster import Rig, Shape
 
 L = 1.0     # a licence's life
@@ -31,7 +31,7 @@
             await asyncio.sleep(3.0 * L)
             assert [await rig.ready(name) for name in rig.members] == [True] * 6
             now = time.monotonic()
-            assert served(rig.seen, lost_at, now) >= served(rig.seen, before, lost_at) - 0.02
+            assert served_share(rig.seen, lost_at, now) >= served_share(rig.seen, before, lost_at) - 0.02
             # One comes back without its file: it has no vote until the two others have, then it has all.
             rig.keeper_file("k0").unlink()
             await rig.restart(*rig.keepers)
@@ -120,7 +120,7 @@
             rig.load(6.0)
             await rig.until_forced(await rig.publish())
             others = [n for n in rig.members if n != "n5"]
-            for ways in ([THERE], [BACK]):
+            for ways in ([TO_TARGET], [FROM_TARGET]):
                 for link in rig.members["n5"].links.values():
                     link.trouble.cut.update(ways)
                     link.healed.clear()
--- a/tests/fleet/test_observer.py
+++ b/tests/fleet/test_observer.py
@@ -1,4 +1,4 @@
-"""What judges the runs: each check finds what is planted; links break as told; plans come again by their seed."""
+"""The test tools: checks find planted faults, links inject the configured faults, and seeds reproduce fault plans."""
 
 import asyncio
 from random import Random
@@ -8,17 +8,17 @@
 from fennelpoint.fleet.rpc import CallFailed
 from fennelpoint.testing.fault_plans import FAULTS, draw_plan
 from fennelpoint.testing.ingress_harness import run
-from fennelpoint.testing.links import BACK, THERE, DatagramLink, Link, Trouble
-from fennelpoint.testing.observer import CHECKS, Arrival, Ask, Observer, faults, passed
+from fennelpoint.testing.links import FROM_TARGET, TO_TARGET, DatagramLink, Link, LinkFault
+from fennelpoint.testing.observer import CHECKS, Arrival, ClientRequest, Observer, bucket_excess, faults
 from fennelpoint.testing.process_cluster import Rig, Shape
 
 
-def seen(*arrivals: tuple[float, str, int], asks: tuple[Ask, ...] = (), **changes) -> Observer:
-    made = Observer([Arrival(at, name, version % 4, 1, f"{at}", 1.0, False) for at, name, version in arrivals],
-                    list(asks), [(1.0, 1), (3.0, 2), (5.0, 3)], [(2.0, 1), (4.0, 2)])
+def observed(*arrivals: tuple[float, str, int], requests: tuple[ClientRequest, ...] = (), **changes) -> Observer:
+    observer = Observer([Arrival(at, name, version % 4, 1, f"{at}", 1.0, False) for at, name, version in arrivals],
+                        list(requests), [(1.0, 1), (3.0, 2), (5.0, 3)], [(2.0, 1), (4.0, 2)])
     for name, value in changes.items():
-        setattr(made, name, value)
-    return made
+        setattr(observer, name, value)
+    return observer
 
 
 GOOD = [(0.5, "a", 0), (1.5, "b", 0), (1.6, "a", 1), (3.5, "a", 2), (3.6, "b", 1), (4.5, "b", 2)]
@@ -26,31 +26,31 @@
 
 @pytest.mark.parametrize("planted, check", [
     ((4.6, "c", 1), "older"), ((2.5, "c", 0), "older"), ((3.7, "c", 0), "three"), ((3.7, "a", 1), "back")])
-def test_each_check_finds_what_is_planted(planted, check):
-    assert faults(seen(*GOOD)) == {}
-    assert check in faults(seen(*GOOD, planted))
+def test_each_check_detects_a_planted_violation(planted, check):
+    assert faults(observed(*GOOD)) == {}
+    assert check in faults(observed(*GOOD, planted))
 
 
-def test_lost_and_doubled_requests_and_units_beyond_a_bucket_are_found():
-    asks = (Ask(1.0, 2.0, "a", "x", 200), Ask(1.0, 2.0, "a", "y", -1))
-    assert faults(seen(asks=asks)) == {}
-    late = Ask(1.0, 2.0, "a", "z", 0)
-    assert "lost" in faults(seen(asks=(*asks, late)))
-    assert faults(seen(asks=(*asks, late), excused={"a": [(1.5, 1.6)]})) == {}
+def test_lost_and_duplicated_requests_and_units_beyond_a_bucket_are_detected():
+    requests = (ClientRequest(1.0, 2.0, "a", "x", 200), ClientRequest(1.0, 2.0, "a", "y", -1))
+    assert faults(observed(requests=requests)) == {}
+    unanswered = ClientRequest(1.0, 2.0, "a", "z", 0)
+    assert "lost" in faults(observed(requests=(*requests, unanswered)))
+    assert faults(observed(requests=(*requests, unanswered), outages={"a": [(1.5, 1.6)]})) == {}
     twice = [Arrival(1.0 + i, "a", 0, 1, "t", 1.0, True) for i in range(2)]
-    assert CHECKS["twice"](seen(arrivals=twice)) and not CHECKS["twice"](seen(arrivals=twice[:1]))
-    burst = seen(*((1.0 + i / 100, "a", 0) for i in range(10)))
-    assert passed(burst, 1, 5.0, 1.0, 0.0, 2.0) and not passed(burst, 1, 9.0, 1.0, 0.0, 2.0)
+    assert CHECKS["twice"](observed(arrivals=twice)) and not CHECKS["twice"](observed(arrivals=twice[:1]))
+    burst = observed(*((1.0 + i / 100, "a", 0) for i in range(10)))
+    assert bucket_excess(burst, 1, 5.0, 1.0, 0.0, 2.0) and not bucket_excess(burst, 1, 9.0, 1.0, 0.0, 2.0)
 
 
-def test_one_seed_makes_one_plan_and_every_kind_of_fault_is_drawn():
+def test_a_seed_reproduces_its_plan_and_every_kind_of_fault_occurs():
     shape = Shape()
     assert draw_plan(7, shape, 8.0, 6) == draw_plan(7, shape, 8.0, 6) != draw_plan(8, shape, 8.0, 6)
     assert {f.kind for seed in range(40) for f in draw_plan(seed, shape, 8.0, 6)} == set(FAULTS)
 
 
-def test_a_build_that_goes_back_is_found():
-    """It goes by whatever a keeper says; one keeper is cut off from the others and knows nothing newer."""
+def test_a_build_that_reverts_to_an_older_version_is_detected():
+    """It acts on any version that a coordinator names, and one partitioned coordinator names an outdated one."""
     async def test() -> None:
         async with Rig(Shape(ingresses=4, broken="backward"), 61) as rig:
             rig.load(10.0)
@@ -67,7 +67,7 @@
     run(test(), 60.0)
 
 
-def test_a_link_is_cut_one_way_slowed_reset_and_healed():
+def test_a_link_can_be_cut_in_one_direction_delayed_reset_and_healed():
     async def test() -> None:
         async def echo(reader, writer) -> None:
             while data := await reader.read(100):
@@ -77,21 +77,21 @@
         link = Link("a>b", server.sockets[0].getsockname(), Random(1))
         reader, writer = await asyncio.open_connection(*await link.start())
 
-        async def through(seconds: float) -> bytes:
+        async def round_trip(timeout_s: float) -> bytes:
             writer.write(b"x")
             try:
-                return await asyncio.wait_for(reader.read(100), seconds)
+                return await asyncio.wait_for(reader.read(100), timeout_s)
             except TimeoutError:
                 return b""
 
-        assert await through(1.0) == b"x"
-        for way in (THERE, BACK):
-            link.be(Trouble(cut={way}))
-            assert await through(0.1) == b""
+        assert await round_trip(1.0) == b"x"
+        for direction in (TO_TARGET, FROM_TARGET):
+            link.inject(LinkFault(cut={direction}))
+            assert await round_trip(0.1) == b""
             link.heal()
-            assert await asyncio.wait_for(reader.read(100), 1.0) == b"x"    # it comes late, not never
-        link.be(Trouble(delay_s=0.2))
-        assert await through(0.1) == b""
+            assert await asyncio.wait_for(reader.read(100), 1.0) == b"x"    # delayed, not lost
+        link.inject(LinkFault(delay_s=0.2))
+        assert await round_trip(0.1) == b""
         assert await asyncio.wait_for(reader.read(100), 2.0) == b"x"
         link.heal()
         link.reset()
@@ -104,34 +104,34 @@
     run(test())
 
 
-def test_datagrams_are_lost_doubled_and_out_of_order():
+def test_datagrams_are_lost_duplicated_and_reordered():
     async def test() -> None:
-        got: list[bytes] = []
+        received: list[bytes] = []
 
         class Sink(asyncio.DatagramProtocol):
             def datagram_received(self, data: bytes, address) -> None:
-                got.append(data)
+                received.append(data)
 
         loop = asyncio.get_running_loop()
         sink, _ = await loop.create_datagram_endpoint(Sink, local_addr=("127.0.0.1", 0))
         link = DatagramLink(sink.get_extra_info("sockname"), Random(1))
         sender, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, remote_addr=await link.start())
 
-        async def send(count: int, trouble: Trouble) -> list[int]:
-            got.clear()
-            link.trouble = trouble
+        async def send(count: int, fault: LinkFault) -> list[int]:
+            received.clear()
+            link.fault = fault
             for i in range(count):
                 sender.sendto(b"%d" % i)
                 await asyncio.sleep(0.001)
             await asyncio.sleep(0.1)
-            return [int(data) for data in got]
-
-        assert await send(50, Trouble()) == list(range(50))
-        assert 5 < len(await send(50, Trouble(lose=0.5))) < 45
-        assert len(await send(50, Trouble(double=0.5))) > 60
-        mixed = await send(50, Trouble(reorder=0.5))
-        assert mixed != sorted(mixed) and set(mixed) >= set(range(49))
-        assert await send(5, Trouble(cut={THERE})) == []
+            return [int(data) for data in received]
+
+        assert await send(50, LinkFault()) == list(range(50))
+        assert 5 < len(await send(50, LinkFault(loss_ratio=0.5))) < 45
+        assert len(await send(50, LinkFault(duplicate_ratio=0.5))) > 60
+        reordered = await send(50, LinkFault(reorder_ratio=0.5))
+        assert reordered != sorted(reordered) and set(reordered) >= set(range(49))
+        assert await send(5, LinkFault(cut={TO_TARGET})) == []
         link.stop()
         sink.close()
         sender.close()
--- a/tests/fleet/test_plan_parameters.py
+++ b/tests/fleet/test_plan_parameters.py
@@ -1,4 +1,4 @@
-"""Plans whose figures change under load: in the module, and over several processes through the mixture."""
+"""Plan parameters that change under load: in the decision module, and across processes during the transition."""
 
 import asyncio
 import time
@@ -11,29 +11,29 @@
 from fennelpoint.fleet import version_contents
 from fennelpoint.fleet.state import LOOSENING, TIGHTENING
 from fennelpoint.testing.ingress_harness import run
-from fennelpoint.testing.observer import faults, passed
+from fennelpoint.testing.observer import bucket_excess, faults
 from fennelpoint.testing.process_cluster import Rig, Shape, content_of, figures
 from fennelpoint.validation_errors import FaultyFile
 
 
-def sent(harness: Harness, count: int, **ask) -> int:
-    return sum(isinstance(a, api.Send) for _ in range(count) for a in harness.request(**ask))
+def count_sends(harness: Harness, count: int, **request) -> int:
+    return sum(isinstance(a, api.Send) for _ in range(count) for a in harness.request(**request))
 
 
-def test_smaller_figures_hold_at_once_and_larger_ones_give_no_more_than_time_does():
+def test_smaller_limits_apply_at_once_and_larger_ones_only_refill_over_time():
     harness = many_backends(has_counter=False)
     plans = list(harness.settings.plans)
-    assert sent(harness, 1, plan=HARD) == 1
+    assert count_sends(harness, 1, plan=HARD) == 1
     smaller = [replace(plan, rate=1.0, burst=2.0) if i == HARD else plan for i, plan in enumerate(plans)]
     harness.deliver(api.PlansChanged(smaller, 1, True))
-    assert sent(harness, 6, plan=HARD) <= 2
+    assert count_sends(harness, 6, plan=HARD) <= 2
     harness.deliver(api.PlansChanged(plans, 2, False))
-    assert sent(harness, 6, plan=HARD) == 0
+    assert count_sends(harness, 6, plan=HARD) == 0
     harness.advance(1.0)
-    assert 1 <= sent(harness, 6, plan=HARD) <= 3     # rate 4 over two ingresses, for a second
+    assert 1 <= count_sends(harness, 6, plan=HARD) <= 3     # rate 4 over two ingresses, for a second
 
 
-def test_no_word_of_the_counter_counts_while_figures_are_mixed_and_its_stores_are_kept_apart():
+def test_counter_replies_are_ignored_while_plans_are_mixed_and_each_version_has_its_own_counter():
     harness = Harness(make_settings(ingresses=40, most_units=1.0))
     harness.backends(*(f"s{i}" for i in range(40)))
     harness.request(plan=CAPPED, width=40.0)
@@ -48,9 +48,9 @@
     assert before not in {call.name for call in harness.counts} and harness.counts
 
 
-def test_what_waits_is_answered_at_once_when_nothing_may_be_sent_and_nothing_is_until_then():
+def test_queued_requests_are_refused_at_once_when_barred_and_nothing_is_sent_until_readmission():
     harness = Harness(make_settings())
-    assert harness.request() == []       # no backend: it waits
+    assert harness.request() == []       # no backend, so the request is queued
     (refusal,) = harness.deliver(api.Barred(True))
     assert isinstance(refusal, api.Refuse) and refusal.retry_after > 0.0
     harness.backends("a", "b")
@@ -61,7 +61,7 @@
     assert any(isinstance(a, api.Send) for a in harness.request())
 
 
-def test_an_attempt_that_fails_while_barred_is_not_tried_again():
+def test_an_attempt_that_fails_while_barred_is_not_retried():
     harness = Harness(make_settings())
     harness.backends("a", "b")
     (send,) = [a for a in harness.request() if isinstance(a, api.Send)]
@@ -85,7 +85,7 @@
     ({"plans.toml": '[[plans]]\nname = "a"\nquota_rate = 1\nstore_size = 0\n'}, "lets nothing in"),
     ({"cells.toml": "version = 1\n"}, "cells.toml: it has neither"),
 ])
-def test_faults_of_a_content_are_named_with_file_line_and_place(files, text):
+def test_invalid_contents_are_reported_with_file_line_and_field(files, text):
     with pytest.raises(FaultyFile) as caught:
         version_contents.check(files)
     assert text in str(caught.value)
@@ -94,14 +94,14 @@
 @pytest.mark.parametrize("data, text", [
     (b"{}", "is no set of files"), (b"\xff", "is no set of files"), (b"[]", "is no set of files"),
     (b'{"schema":2,"files":{}}', "schema"), (b'{"schema":1,"files":{"plans.toml":3}}', "is no set of files")])
-def test_a_content_that_is_not_one_is_not_taken(data, text):
+def test_malformed_contents_are_rejected(data, text):
     with pytest.raises(FaultyFile, match=text):
         version_contents.unpack(data, version_contents.digest_of(data))
     with pytest.raises(FaultyFile, match="not what its digest says"):
         version_contents.unpack(data + b" ", version_contents.digest_of(data))
 
 
-def test_what_a_change_takes_away_makes_it_a_tightening():
+def test_a_change_that_reduces_a_limit_is_a_tightening():
     settings = make_settings().plans
     old = version_contents.check(GOOD)
     for rate, burst, kind in ((4, 8, LOOSENING), (5, 8, LOOSENING), (3, 8, TIGHTENING), (9, 7, TIGHTENING),
@@ -124,8 +124,9 @@
 
 # Processes
 
-def test_a_ceiling_that_is_lowered_is_kept_from_its_force_on_and_the_older_one_until_then():
-    """One agency asks for far more through all ingresses, with cuts and a stopped process about the change."""
+def test_a_lowered_ceiling_holds_once_in_force_and_the_previous_one_holds_until_then():
+    """One agency sends far more than its ceiling through all ingresses, with a partition and a stopped process during
+    the change."""
     async def test() -> None:
         shape = Shape(ingresses=6, quota=(30.0, 30.0), ceiling=(40.0, 40.0, 4.0))
         async with Rig(shape, 31) as rig:
@@ -142,16 +143,16 @@
             rig.heal()
             await asyncio.sleep(4.0)
             slack = 4.0 + 0.15 * 40.0
-            assert passed(rig.seen, 0x100, 40.0, 40.0, begun - 5.0, slack) == []
-            assert passed(rig.seen, 0x100, 12.0, 12.0, forced, 4.0 + 0.15 * 12.0) == []
+            assert bucket_excess(rig.seen, 0x100, 40.0, 40.0, begun - 5.0, slack) == []
+            assert bucket_excess(rig.seen, 0x100, 12.0, 12.0, forced, 4.0 + 0.15 * 12.0) == []
             since = [a for a in rig.seen.arrivals if a.at > forced + 1.5]
-            assert len(since) > 10      # and it is served
+            assert len(since) > 10      # the agency is still served
             assert faults(rig.seen) == {}
 
     run(test(), 60.0)
 
 
-def test_a_build_that_does_not_go_by_the_new_figures_is_found():
+def test_a_build_that_ignores_the_new_limits_is_detected():
     async def test() -> None:
         shape = Shape(ingresses=6, quota=(30.0, 30.0), ceiling=(40.0, 40.0, 4.0), broken="figures")
         async with Rig(shape, 31) as rig:
@@ -160,6 +161,6 @@
             await rig.until_forced(await rig.publish(figures(9.0, 6.0, 12.0, 12.0)))
             forced = time.monotonic()
             await asyncio.sleep(3.0)
-            assert passed(rig.seen, 0x100, 12.0, 12.0, forced, 4.0 + 0.15 * 12.0)
+            assert bucket_excess(rig.seen, 0x100, 12.0, 12.0, forced, 4.0 + 0.15 * 12.0)
 
     run(test(), 60.0)
