--- a/fennelpoint/fleet/rpc.py
+++ b/fennelpoint/fleet/rpc.py
@@ -18,7 +18,7 @@
 
 
 class CallFailed(Exception):
-    """There was no answer, or it was an error: the text, one line, says which."""
+    """A call got no answer, or its answer is an error; the message is one line of text."""
 
 
 class CallRefused(CallFailed):
--- a/fennelpoint/testing/links.py
+++ b/fennelpoint/testing/links.py
@@ -115,9 +115,9 @@
         if self.held_datagram is None and random.random() < fault.reorder_ratio:
             self.held_datagram = data   # sent after the next one
             return
-        held, self.held_datagram = self.held_datagram, None
+        previous, self.held_datagram = self.held_datagram, None
         for datagram in (data, *((data,) if random.random() < fault.duplicate_ratio else ()),
-                         *((held,) if held else ())):
+                         *((previous,) if previous else ())):
             delay_s = fault.delay_s + fault.jitter_s * random.random()
             asyncio.get_running_loop().call_later(delay_s, self._send, datagram)
 
--- a/tests/fleet/test_plan_parameters.py
+++ b/tests/fleet/test_plan_parameters.py
@@ -116,10 +116,11 @@
     unknown = version_contents.check({"plans.toml": '[[plans]]\nname = "none"\nquota_rate = 4\nstore_size = 8\n'})
     with pytest.raises(FaultyFile, match="the settings have no such plan"):
         version_contents.figures(settings, unknown)
-    one, other = version_contents.figures(settings, old), version_contents.figures(settings, version_contents.check(
-        {"plans.toml": '[[plans]]\nname = "hard"\nquota_rate = 2\nstore_size = 20\n'}))
-    least = version_contents.least(one, other)
-    assert (least[HARD].rate, least[HARD].burst) == (2.0, 8.0)
+    old_plans, new_plans = version_contents.figures(settings, old), version_contents.figures(
+        settings, version_contents.check(
+            {"plans.toml": '[[plans]]\nname = "hard"\nquota_rate = 2\nstore_size = 20\n'}))
+    combined = version_contents.least(old_plans, new_plans)
+    assert (combined[HARD].rate, combined[HARD].burst) == (2.0, 8.0)
 
 
 # Processes
@@ -131,22 +132,22 @@
         shape = Shape(ingresses=6, quota=(30.0, 30.0), ceiling=(40.0, 40.0, 4.0))
         async with Rig(shape, 31) as rig:
             rig.load(30.0, agencies=1, book=0.0)
-            begun = time.monotonic()
+            started_at = time.monotonic()
             await asyncio.sleep(2.5)
             number = await rig.publish(figures(9.0, 6.0, 12.0, 12.0))
             await asyncio.sleep(0.3)
             rig.stop("n1")
             rig.cut("n2", "k0", "k1")
             await rig.until_forced(number)
-            forced = time.monotonic()
+            in_force_at = time.monotonic()
             rig.go_on("n1")
             rig.heal()
             await asyncio.sleep(4.0)
             slack = 4.0 + 0.15 * 40.0
-            assert bucket_excess(rig.seen, 0x100, 40.0, 40.0, begun - 5.0, slack) == []
-            assert bucket_excess(rig.seen, 0x100, 12.0, 12.0, forced, 4.0 + 0.15 * 12.0) == []
-            since = [a for a in rig.seen.arrivals if a.at > forced + 1.5]
-            assert len(since) > 10      # the agency is still served
+            assert bucket_excess(rig.seen, 0x100, 40.0, 40.0, started_at - 5.0, slack) == []
+            assert bucket_excess(rig.seen, 0x100, 12.0, 12.0, in_force_at, 4.0 + 0.15 * 12.0) == []
+            later_arrivals = [a for a in rig.seen.arrivals if a.at > in_force_at + 1.5]
+            assert len(later_arrivals) > 10      # the agency is still served
             assert faults(rig.seen) == {}
 
     run(test(), 60.0)
@@ -159,8 +160,8 @@
             rig.load(30.0, agencies=1, book=0.0)
             await asyncio.sleep(1.0)
             await rig.until_forced(await rig.publish(figures(9.0, 6.0, 12.0, 12.0)))
-            forced = time.monotonic()
+            in_force_at = time.monotonic()
             await asyncio.sleep(3.0)
-            assert bucket_excess(rig.seen, 0x100, 12.0, 12.0, forced, 4.0 + 0.15 * 12.0)
+            assert bucket_excess(rig.seen, 0x100, 12.0, 12.0, in_force_at, 4.0 + 0.15 * 12.0)
 
     run(test(), 60.0)
