--- a/tests/fleet/test_coordinators_lost.py
+++ b/tests/fleet/test_coordinators_lost.py
@@ -122,7 +122,7 @@
             others = [n for n in rig.members if n != "n5"]
             for ways in ([TO_TARGET], [FROM_TARGET]):
                 for link in rig.members["n5"].links.values():
-                    link.trouble.cut.update(ways)
+                    link.fault.cut.update(ways)
                     link.healed.clear()
                 await asyncio.sleep(1.5 * L)
                 assert not await rig.ready("n5")
