--- a/fennelpoint/fleet/rpc.py
+++ b/fennelpoint/fleet/rpc.py
@@ -10,7 +10,7 @@
 import json
 from collections.abc import Awaitable, Callable
 
-from fennelpoint.rate_limited_log import complain
+from fennelpoint.rate_limited_log import warn_limited
 
 MAX_LINE_BYTES = 6 << 20    # the largest message carries a version's content in base64
 MAX_CONNECTIONS = 1024
@@ -60,7 +60,7 @@
                     tasks.add(task)
                     task.add_done_callback(tasks.discard)
         except (ValueError, RecursionError, asyncio.LimitOverrunError) as error:
-            complain(self.kind, "%s sent an invalid call: %s", writer.get_extra_info("peername"),
+            warn_limited(self.kind, "%s sent an invalid call: %s", writer.get_extra_info("peername"),
                      str(error)[:100])
         except (OSError, asyncio.CancelledError):
             pass
--- a/fennelpoint/net/admin_socket.py
+++ b/fennelpoint/net/admin_socket.py
@@ -9,8 +9,8 @@
 import time
 from collections.abc import Callable
 
-from fennelpoint.component import Part
-from fennelpoint.lifecycle import Event, IllegalMove, LifeCycle
+from fennelpoint.component import Component
+from fennelpoint.lifecycle import Event, IllegalTransition, LifeCycle
 from fennelpoint.rate_limited_log import log
 
 MAX_LINE_BYTES = 128
@@ -26,13 +26,13 @@
     except UnicodeDecodeError:
         return "NAK the call is not ASCII: ready, drain and resume are known", False
     if command == "ready":
-        return f"{'ACK' if lifecycle.ready else 'NAK'} {lifecycle.phase.value}{describe_load()}", False
+        return f"{'ACK' if lifecycle.is_ready else 'NAK'} {lifecycle.phase.value}{describe_load()}", False
     if (event := COMMANDS.get(command)) is None:
         return "NAK no such call: ready, drain and resume are known", False
     phase_before = lifecycle.phase
     try:
         lifecycle.handle(event, now)
-    except IllegalMove as error:
+    except IllegalTransition as error:
         return f"NAK {error}", False
     return f"ACK {lifecycle.phase.value}{describe_load()}", lifecycle.phase is not phase_before
 
@@ -77,7 +77,7 @@
         self.admin_socket.connections.pop(self, None)
 
 
-class AdminSocket(Part):
+class AdminSocket(Component):
     """The listener for admin connections."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], lifecycle: LifeCycle, name: str,
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from fennelpoint.body_buffering import MOST
+from fennelpoint.body_buffering import MAX_BODY_BYTES
 from fennelpoint.net.backends import UpstreamConnection
-from fennelpoint.net.controller_host import LEFT_AT_WORK
+from fennelpoint.net.controller_host import ABANDONED_WORK_TIMEOUT_S
 from fennelpoint.net.server import RESET_ON_CLOSE
 from fennelpoint.testing import Backend, Fake, ask, read_message, request, run, until, world
 
@@ -38,7 +38,7 @@
             await until(lambda: backend.started)
             writer.transport.abort()
             await until(lambda: not harness.ingress.server.connections)
-            await until(lambda: backend.ended and not harness.ingress.host.tickets, LEFT_AT_WORK)
+            await until(lambda: backend.ended and not harness.ingress.host.open_requests, ABANDONED_WORK_TIMEOUT_S)
             assert harness.ingress.host.controller.fleet.in_flight == 0
 
     run(scenario())
@@ -54,7 +54,7 @@
             with socket.create_connection(harness.address) as client:  # sends and closes before the ingress runs
                 client.sendall(request(lane, left=60_000))
             await until(lambda: harness.ingress.host.last_id > before)
-            await until(lambda: not harness.ingress.server.connections and not harness.ingress.host.tickets)
+            await until(lambda: not harness.ingress.server.connections and not harness.ingress.host.open_requests)
             await ask(harness, request(path="/next"))
             assert [line.split()[1] for line, _, _ in backend.seen] == ["/before", "/next"]
 
@@ -63,15 +63,15 @@
 
 def test_non_repeatable_attempt_continues_after_its_client_disconnects():
     async def scenario() -> None:
-        backend = Backend(delay=LEFT_AT_WORK)
+        backend = Backend(delay=ABANDONED_WORK_TIMEOUT_S)
         async with world(backend) as harness:
             _, writer = await harness.connect()
             writer.write(request("book", left=60_000))
             await until(lambda: backend.seen)
             writer.transport.abort()
             await until(lambda: not harness.ingress.server.connections)
-            assert harness.ingress.host.tickets
-            await until(lambda: not harness.ingress.host.tickets)
+            assert harness.ingress.host.open_requests
+            await until(lambda: not harness.ingress.host.open_requests)
             assert backend.opened == 1 and harness.ingress.host.controller.fleet.backends["s-0"].fails == 0
 
     run(scenario())
@@ -87,12 +87,12 @@
 
         async with world(Fake(take_nothing)) as harness:
             _, writer = await harness.connect()
-            writer.write(request("book", bytes(min(MOST, 32 * MB)), left=60_000))
+            writer.write(request("book", bytes(min(MAX_BODY_BYTES, 32 * MB)), left=60_000))
             await until(lambda: any(c.is_read_paused for c in harness.ingress.server.connections))
             # An orderly close would wait behind the rest of the body, which is never read.
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             writer.transport.abort()
-            await until(lambda: not harness.ingress.host.tickets, 2 * LEFT_AT_WORK)
+            await until(lambda: not harness.ingress.host.open_requests, 2 * ABANDONED_WORK_TIMEOUT_S)
 
     run(scenario())
 
@@ -117,7 +117,7 @@
             await connecting.wait()
             writer.transport.abort()
             await until(lambda: not harness.ingress.server.connections)
-            await until(lambda: not harness.ingress.host.tickets, LEFT_AT_WORK)
+            await until(lambda: not harness.ingress.host.open_requests, ABANDONED_WORK_TIMEOUT_S)
             go_on.set()
             assert harness.ingress.host.controller.fleet.backends["s-0"].fails == 0
             monkeypatch.undo()
@@ -137,13 +137,13 @@
 
             def give_up(connection, transport) -> None:
                 original_connection_made(connection, transport)
-                for task in pool.connecting:
+                for task in pool.connect_tasks:
                     task.cancel()
 
             monkeypatch.setattr(UpstreamConnection, "connection_made", give_up)
             line, _, _ = await asyncio.wait_for(ask(harness, request("book", left=60_000)), 5.0)
             assert line.split()[1] == "502"  # it may have run
-            assert not pool.all and not pool.connecting and not harness.ingress.host.tickets
+            assert not pool.all and not pool.connect_tasks and not harness.ingress.host.open_requests
 
     run(scenario())
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from fennelpoint.body_buffering import MOST
+from fennelpoint.body_buffering import MAX_BODY_BYTES
 from fennelpoint.file_descriptors import Plan
 from fennelpoint.lifecycle import Phase
 from fennelpoint.testing import Backend, ask, ok, read_message, request, run, until, world
@@ -42,7 +42,7 @@
     (b"\x16\x03\x01 not http\r\n\r\n", 400),
     (b"GET /api HTTP/1.1\r\nHost : x\r\n\r\n", 400),
     (b"GET /api HTTP/1.1\r\nX: " + b"y" * 40_000, 431),
-    (request("book", bytes(1000), Content_Length=str(MOST + 1)), 413),
+    (request("book", bytes(1000), Content_Length=str(MAX_BODY_BYTES + 1)), 413),
     (request("book", b"0\r\nX: " + b"y" * 900_000, Transfer_Encoding="chunked"), 413),
     (request("book", b"3;" + b"y" * 900_000, Transfer_Encoding="chunked"), 413),
     (request("book", b"0\r\n\r\n", Transfer_Encoding="chunked").replace(b"HTTP/1.1", b"HTTP/1.0"), 400),
@@ -61,7 +61,7 @@
             assert int(line.split()[1]) == status and fields["connection"] == "close"
             assert await reader.read() == b""
             writer.close()
-            assert not backend.seen and not harness.ingress.host.tickets
+            assert not backend.seen and not harness.ingress.host.open_requests
 
     run(scenario())
 
@@ -140,8 +140,8 @@
             writer.write(request(left=400))
             await until(lambda: backend.seen)
             writer.close()
-            await until(lambda: harness.ingress.host.waiting == 0)
-            await until(lambda: not harness.ingress.host.tickets and not harness.ingress.server.connections)
+            await until(lambda: harness.ingress.host.unanswered_count == 0)
+            await until(lambda: not harness.ingress.host.open_requests and not harness.ingress.server.connections)
 
     run(scenario())
 
@@ -164,7 +164,7 @@
         async with world(Backend()) as harness:
             harness.ingress.host.controller.handle = lambda event, now: []
             assert (await ask(harness, request(left=200)))[0].split()[1] == "502"
-            assert not harness.ingress.host.tickets
+            assert not harness.ingress.host.open_requests
 
     run(scenario())
 
@@ -174,7 +174,7 @@
         async with world(Backend()) as harness:
             data = b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
             assert (await ask(harness, data))[0].split()[1] == "200"
-            harness.ingress.life.phase = Phase.STARTING
+            harness.ingress.life_cycle.phase = Phase.STARTING
             assert (await ask(harness, data))[0].split()[1] == "503"
 
     run(scenario())
@@ -189,7 +189,7 @@
             writer.write(request("book", b"x", left=5000))
             await until(lambda: backend.seen)
             harness.ingress.stop()
-            assert not harness.ingress.life.ready
+            assert not harness.ingress.life_cycle.is_ready
             backend.answer = lambda *_: ok(b"yes")
             line, fields, _ = await ask(harness, request())    # a proxy that has not noticed the stop yet
             assert line.split()[1] == "200" and fields["connection"] == "close"
@@ -233,7 +233,7 @@
                 writer.write(request(left=20_000))
                 served += 1
                 assert served < 2000
-                await until(lambda: harness.ingress.host.waiting == 0 and len(backend.seen) == served)  # noqa: B023
+                await until(lambda: harness.ingress.host.unanswered_count == 0 and len(backend.seen) == served)  # noqa: B023
             writer.write(request(left=20_000))
             await until(lambda: any(c.pending for c in harness.ingress.server.connections))
             assert len(backend.seen) == served
@@ -256,7 +256,7 @@
             backend.writers[0].write(ok(b"yes"))
             assert (await read_message(reader))[2] == b"yes"
             writer.close()
-            await until(lambda: not harness.ingress.host.tickets)
+            await until(lambda: not harness.ingress.host.open_requests)
             backend.answer = lambda *_: ok(b"yes")
             assert (await ask(harness, request(X_Txn="one")))[0].endswith("200 OK")
 
