--- a/fennelpoint/fleet/rpc.py
+++ b/fennelpoint/fleet/rpc.py
@@ -61,7 +61,7 @@
                     task.add_done_callback(tasks.discard)
         except (ValueError, RecursionError, asyncio.LimitOverrunError) as error:
             warn_limited(self.kind, "%s sent an invalid call: %s", writer.get_extra_info("peername"),
-                     str(error)[:100])
+                         str(error)[:100])
         except (OSError, asyncio.CancelledError):
             pass
         finally:
