--- a/fennelpoint/system/registry/program.py
+++ b/fennelpoint/system/registry/program.py
@@ -8,10 +8,10 @@
 
 from fennelpoint.invariants import violations
 from fennelpoint.system.actions import Violation
-from fennelpoint.system.events import Event, say
-from fennelpoint.system.http_server import Asking, Reply, Web
-from fennelpoint.system.mesh import Mesh, name
-from fennelpoint.system.registry.state_machine import Answer, Note, RegistryStateMachine, Save, Send
+from fennelpoint.system.events import Event, log_event
+from fennelpoint.system.http_server import ApiRequest, HttpServer, Reply
+from fennelpoint.system.mesh import Mesh, peer_name
+from fennelpoint.system.registry.state_machine import Answer, LogEvent, RegistryStateMachine, Save, Send
 from fennelpoint.system.registry.storage import BackendStorage
 from fennelpoint.system.settings import Settings
 
@@ -31,8 +31,8 @@
         self.storage = BackendStorage(settings.data_directory)
         self.registry.restore(self.storage.rows, time.monotonic())
         self.mesh = Mesh(loop, "roll", settings.ip_address, settings.internal_ports, self.on_message, self.on_link,
-                         refused=self.on_connection_refused)
-        self.web = Web(loop, self.on_call)
+                         on_refused=self.on_connection_refused)
+        self.web = HttpServer(loop, self.on_call)
         self.stopped = loop.create_future()
 
     async def start(self) -> None:
@@ -48,7 +48,7 @@
         self.execute(self.registry.tick(time.monotonic()))
         if self.registry.is_shutdown_complete(time.monotonic()) and not self.stopped.done():
             self.stopped.set_result(None)
-        self.mesh.dial({*self.registry.other_registries, name("writ", self.settings.ip_address)})
+        self.mesh.dial({*self.registry.other_registries, peer_name("writ", self.settings.ip_address)})
 
     def on_message(self, peer: str, message: list) -> None:
         self.execute(self.registry.on_message(peer, message, time.monotonic()))
@@ -59,11 +59,11 @@
     def on_connection_refused(self, peer: str, dialled_at: float) -> None:
         self.execute(self.registry.on_connection_refused(peer, dialled_at, time.monotonic()))
 
-    def on_call(self, request: Asking) -> None:
+    def on_call(self, request: ApiRequest) -> None:
         try:
             self.execute(self.registry.on_call(request, time.monotonic()))
         except Exception as error:
-            say(Event.CRASHED, where=request.call.name, reason=repr(error))
+            log_event(Event.CRASHED, where=request.call.name, reason=repr(error))
             request.answer(Reply(503))
 
     def execute(self, actions: list) -> None:
@@ -76,8 +76,8 @@
                     self.storage.save(rows, forgotten_ids)
                 case Answer(request, reply):
                     request.answer(reply)
-                case Note(event, fields):
-                    say(Event[event], **fields)
+                case LogEvent(event, fields):
+                    log_event(Event[event], **fields)
                 case Violation(invariant, detail):
                     violations.record(invariant, detail)
 
--- a/fennelpoint/system/store/program.py
+++ b/fennelpoint/system/store/program.py
@@ -9,11 +9,11 @@
 from random import Random
 
 from fennelpoint.fleet.store import Store as Disk
-from fennelpoint.system.events import Event, say
-from fennelpoint.system.graceful_shutdown import within
-from fennelpoint.system.mesh import Mesh, ip_of, name
+from fennelpoint.system.events import Event, log_event
+from fennelpoint.system.graceful_shutdown import shutdown_timeout
+from fennelpoint.system.mesh import Mesh, ip_of, peer_name
 from fennelpoint.system.settings import Settings
-from fennelpoint.system.store.replica import KEY, REGISTRY, DiskSynced, Note, Replica, Save, SaveContent, Send
+from fennelpoint.system.store.replica import KEY, REGISTRY, DiskSynced, LogEvent, Replica, Save, SaveContent, Send
 
 TICK_S = 0.02
 
@@ -29,7 +29,7 @@
         self.replica = Replica(me, settings.availability_zone, settings.zones, settings.seeds, self.disk.keeper,
                                settings.first_start and me in settings.seeds, self.content, Random(),
                                time.monotonic())
-        self.replica.leaving.most = within(settings.rule_bounds.grace_period_s)
+        self.replica.leaving.timeout_s = shutdown_timeout(settings.rule_bounds.grace_period_s)
         self.stopped = loop.create_future()
 
     def content(self, digest: str) -> bytes | None:
@@ -48,11 +48,12 @@
         self.execute(self.replica.tick(time.monotonic()))
         if self.replica.can_exit(time.monotonic()) and not self.stopped.done():
             self.stopped.set_result(None)
-        self.mesh.dial({name("writ", ip) for ip in self.replica.peers} | {name("roll", self.settings.ip_address)})
+        self.mesh.dial({peer_name("writ", ip) for ip in self.replica.peers}
+                       | {peer_name("roll", self.settings.ip_address)})
 
     def receive(self, peer: str, message: list) -> None:
         """Handles a message of another replica or of the local registry; ignores any other sender."""
-        is_local_registry = peer == name("roll", self.settings.ip_address)
+        is_local_registry = peer == peer_name("roll", self.settings.ip_address)
         if peer.startswith("writ@") or is_local_registry:
             self.execute(self.replica.receive(REGISTRY if is_local_registry else ip_of(peer), message,
                                               time.monotonic()))
@@ -67,16 +68,16 @@
         for action in actions:
             match action:
                 case Send(to, message):
-                    self.mesh.send(name("roll", self.settings.ip_address) if to == REGISTRY else name("writ", to),
-                                   message)
-                case Note(event, fields):
-                    say(Event[event], **fields)
+                    self.mesh.send(peer_name("roll", self.settings.ip_address) if to == REGISTRY
+                                   else peer_name("writ", to), message)
+                case LogEvent(event, fields):
+                    log_event(Event[event], **fields)
                 case Save() | SaveContent():
                     try:
                         self._save(action)
                     except (sqlite3.Error, OSError) as error:
                         if not self.replica.disk_error:
-                            say(Event.DISK, step=type(action).__name__, reason=error)
+                            log_event(Event.DISK, step=type(action).__name__, reason=error)
                         self.disk.undo()
                         self.replica.disk_failed(str(error))
                         return
