--- a/fennelpoint/fleet/queries.py
+++ b/fennelpoint/fleet/queries.py
@@ -184,7 +184,7 @@
         if report["fault"]:
             lines.append(f"it can't switch to the coming version: {report['fault']}")
     if not reports:
-        lines.append(f"no keeper that answers has a report from {name}")
+        lines.append(f"{name} has sent no report to a keeper that answers")
     if own_status is None:
         lines.append("the ingress itself does not answer")
     else:
