--- a/fennelpoint/fleet/register.py
+++ b/fennelpoint/fleet/register.py
@@ -306,7 +306,7 @@
             is_current = dict(reply.incarnations).get(self.name, 0) == self.incarnation
             return replace(self, state_replies={**self.state_replies, reply.name: reply}) if is_current else self
         updated = replace(self, discovery_replies={**self.discovery_replies, reply.name: reply})
-        if not updated._is_enough(updated.discovery_replies):
+        if not self._is_enough(updated.discovery_replies):
             return updated
         # Every acceptor's first incarnation is 1, which it announces to no other acceptor.
         newest = max(dict(known.incarnations).get(self.name, 1) for known in updated.discovery_replies.values())
