--- a/fennelpoint/fleet/consensus.py
+++ b/fennelpoint/fleet/consensus.py
@@ -1,7 +1,7 @@
-"""The seam by which the fleet's state is agreed, and the embedded keepers behind it.
+"""The replicated register that stores the fleet's state, and its embedded implementation.
 
-`Register` is all that the rest goes by.  `EmbeddedRegister` carries out what `register.py` decides: messages to
-the other keepers, each vote on disk before it is told.
+Other modules depend on the `Register` protocol only.  `EmbeddedRegister` runs the algorithm of `register.py` among
+the coordinators (keepers): it sends the messages and persists each promise and vote before it answers.
 """
 
 from __future__ import annotations
@@ -39,42 +39,45 @@
 from fennelpoint.fleet.store import Store
 from fennelpoint.rate_limited_log import log
 
-WAIT = 0.5          # s for a keeper to answer a message
-ROUNDS = 12         # tries of a change
-MOST_VALUE = 256 * 1024     # bytes of a value as JSON
+CALL_TIMEOUT_S = 0.5        # for an acceptor to answer a message
+MAX_ROUNDS = 12             # attempts per change
+MAX_VALUE_BYTES = 256 * 1024    # of a value as JSON
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """A key's value; revision 0 is none yet."""
+class VersionedValue:
+    """The value of a key at a revision; revision 0 means that the key has no value yet."""
 
     revision: int
     data: object
-    ids: frozenset[str] = frozenset()   # of the changes that made it, the last ones
+    change_ids: frozenset[str] = frozenset()   # of the latest changes that led to this value
 
 
-class Unknown(CallFailed):
-    """Whether a change was made is not known: try it again under its id."""
+class UnknownOutcome(CallFailed):
+    """The outcome of a change is unknown: retry it with the same change id."""
 
 
 class Register(Protocol):
-    """Small keyed values, each changed by compare-and-set on its revision, in one order that all see."""
+    """Small values by key, each changed by compare-and-set on its revision; reads and changes are linearizable."""
 
-    async def read(self, key: str) -> Held:
-        """The newest value there was when this was called; raises CallFailed where that can't be told."""
+    async def read(self, key: str) -> VersionedValue:
+        """Returns the newest value agreed before this call; raises CallFailed if it cannot be determined."""
 
-    async def change(self, key: str, expect: int, data: object, change_id: str) -> int | None:
-        """The revision it made, or made before under that id; none where another came first.
+    async def change(self, key: str, expected_revision: int, data: object, change_id: str) -> int | None:
+        """Applies a compare-and-set, at most once per change id, however often it is retried.
 
-        Raises Unknown where it may have been made."""
+        Returns the revision that it made, now or in an earlier attempt with this id, or None if another change came
+        first.  Raises UnknownOutcome if the change may or may not have been made.
+        """
 
-    def glance(self, key: str) -> Held:
-        """What is at hand, which may be old."""
+    def read_local(self, key: str) -> VersionedValue:
+        """Returns the locally known value, which may be outdated."""
 
 
-# Messages as JSON and back
+# Conversion of messages to and from JSON
 
 def encode_answer(answer: Answer) -> dict:
+    """Converts an answer to the JSON object that is sent."""
     if isinstance(answer, PromiseReply):
         return {"seen": [answer.name, answer.incarnation, answer.ok, answer.promised, answer.accepted, answer.value]}
     if isinstance(answer, AcceptReply):
@@ -83,20 +86,23 @@
                       [[key, [c.promised, c.accepted, c.value]] for key, c in answer.registers]]}
 
 
-def decode_answer(value: Mapping) -> Answer:
-    """Raises ValueError, TypeError or KeyError where it is none."""
-    if "seen" in value:
-        name, life, ok, promised, accepted, held = value["seen"]
-        return PromiseReply(name, life, ok, ballot_of(promised), ballot_of(accepted), held)
-    if "voted" in value:
-        name, life, ok, promised = value["voted"]
-        return AcceptReply(name, life, ok, ballot_of(promised))
-    name, votes, lives, cells = value["known"]
-    return RejoinReply(name, votes, tuple((n, int(life)) for n, life in lives),
-                       tuple((key, RegisterState(ballot_of(p), ballot_of(a), held)) for key, (p, a, held) in cells))
+def decode_answer(fields: Mapping) -> Answer:
+    """Converts a received JSON object to an answer; raises ValueError, TypeError or KeyError if it is invalid."""
+    if "seen" in fields:
+        name, incarnation, ok, promised, accepted, value = fields["seen"]
+        return PromiseReply(name, incarnation, ok, ballot_of(promised), ballot_of(accepted), value)
+    if "voted" in fields:
+        name, incarnation, ok, promised = fields["voted"]
+        return AcceptReply(name, incarnation, ok, ballot_of(promised))
+    name, can_vote, incarnations, registers = fields["known"]
+    return RejoinReply(
+        name, can_vote, tuple((other, int(incarnation)) for other, incarnation in incarnations),
+        tuple((key, RegisterState(ballot_of(promised), ballot_of(accepted), value))
+              for key, (promised, accepted, value) in registers))
 
 
 def encode_message(message: Message) -> dict:
+    """Converts a message to the fields of a call."""
     match message:
         case Peek():
             return {"do": "peek", "key": message.key}
@@ -110,7 +116,7 @@
 
 
 def decode_message(call: Mapping) -> Message | None:
-    """The message that a call is; none where it is no message between keepers."""
+    """Returns the message that a call carries, or None if the call is not a message between acceptors."""
     match call["do"]:
         case "peek":
             return Peek(str(call["key"]))
@@ -118,151 +124,169 @@
             return Prepare(str(call["key"]), ballot_of(call["ballot"]))
         case "accept":
             return Accept(str(call["key"]), ballot_of(call["ballot"]), call["value"],
-                          tuple((str(name), int(life)) for name, life in call["lives"]))
+                          tuple((str(name), int(incarnation)) for name, incarnation in call["lives"]))
         case "hello":
             return RejoinRequest(str(call["name"]), int(call["life"]))
     return None
 
 
 class EmbeddedRegister:
-    """One keeper among those of its fleet."""
+    """One acceptor and proposer among the coordinators of a fleet."""
 
     def __init__(self, store: Store, peers: Mapping[str, tuple[str, int]]) -> None:
-        """`peers` are the other keepers."""
+        """`peers` maps the names of the other acceptors to their addresses."""
         self.store, self.name = store, store.name
-        self.lines = {name: Line(*address) for name, address in peers.items()}
-        self.keepers = 1 + len(peers)
+        self.connections = {name: Line(*address) for name, address in peers.items()}
+        self.acceptor_count = 1 + len(peers)
         self.proposer = f"{self.name}.{secrets.token_hex(4)}"
-        self.round = 0
-        self.turn = asyncio.Lock()      # our own changes one after the other: they would only outbid each other
+        self.round_number = 0
+        # Serializes local changes: concurrent rounds of one proposer would outbid each other.
+        self.change_lock = asyncio.Lock()
 
     @property
-    def votes(self) -> bool:
-        return self.store.keeper.can_vote
+    def can_vote(self) -> bool:
+        """Whether this acceptor may vote."""
+        return self.store.acceptor.can_vote
 
-    def answer(self, message: Message) -> Answer:
-        """A message of another keeper, or our own to ourselves; on disk before it is told."""
-        keeper, answer = handle(self.store.keeper, message)
-        self.store.keep(keeper, getattr(message, "key", None))
+    def handle_message(self, message: Message) -> Answer:
+        """Handles a message of any proposer, including the local one.
+
+        The new state is on disk before this returns.
+        """
+        acceptor, answer = handle(self.store.acceptor, message)
+        self.store.save(acceptor, getattr(message, "key", None))
         return answer
 
-    async def _ask(self, name: str, message: Message) -> Answer | None:
+    async def _request(self, name: str, message: Message) -> Answer | None:
+        """Sends a message to one acceptor; returns None if it does not answer validly."""
         if name == self.name:
-            return self.answer(message)
+            return self.handle_message(message)
         fields = encode_message(message)
         try:
-            return decode_answer(await self.lines[name].call(fields.pop("do"), WAIT, **fields))
+            return decode_answer(await self.connections[name].call(fields.pop("do"), CALL_TIMEOUT_S, **fields))
         except (CallFailed, ValueError, TypeError, KeyError):
             return None
 
-    async def _gather(self, names: list[str], message: Message, take: Callable[[Answer], bool]) -> None:
-        """Ask them all; ends when `take` says that it has enough, or all have answered or can't."""
-        tasks = [asyncio.ensure_future(self._ask(name, message)) for name in names]
+    async def _broadcast(self, names: list[str], message: Message, on_answer: Callable[[Answer], bool]) -> None:
+        """Sends a message to all names; returns once `on_answer` returns true, or when every request has ended."""
+        tasks = [asyncio.ensure_future(self._request(name, message)) for name in names]
         try:
             for task in asyncio.as_completed(tasks):
                 answer = await task
-                if answer is not None and take(answer):
+                if answer is not None and on_answer(answer):
                     return
         finally:
-            for task in tasks:      # those that are still out end by themselves: cancelled, a line would break
+            for task in tasks:      # the rest are left to finish: cancelling one would break its connection
                 task.add_done_callback(lambda task: task.cancelled() or task.exception())
 
     @property
-    def names(self) -> list[str]:
-        return [self.name, *self.lines]
-
-    async def read(self, key: str) -> Held:
-        seen: dict[str, PromiseReply] = {}
-        found: list[PromiseReply] = []
-
-        def take(answer: Answer) -> bool:
-            seen[answer.name] = answer
-            if (one := majority_value(seen, self.keepers)) is not None:
-                found.append(one)
-            return bool(found)
-
-        await self._gather(self.names, Peek(key), take)
-        if found:
-            return _held(found[0].value)
-        if sum(answer.ok for answer in seen.values()) < majority(self.keepers):
-            raise CallFailed(f"keeper {self.name} does not hear a majority of {self.keepers} keepers that vote")
-        async with self.turn:
-            return _held(await self._agree(key, no_change))
-
-    async def change(self, key: str, expect: int, data: object, change_id: str) -> int | None:
-        change = Change(expect, data, change_id)
-        async with self.turn:
-            return change.made_revision(await self._agree(key, change))
-
-    async def _agree(self, key: str, change: Callable[[object], object]) -> object:
-        """What is held once a round went through; raises Unknown where none did."""
-        for attempt in range(ROUNDS):
-            self.round += 1
-            state = Round(key, (self.round, self.proposer), change, self.keepers)
-            box = [state]
-
-            def take(answer: Answer, box: list[Round] = box) -> bool:
-                box[0] = box[0].with_answer(answer)
-                return box[0].accept is not None or box[0].is_lost
-
-            await self._gather(self.names, state.prepare, take)
-            if box[0].accept is not None:
-                await self._gather(sorted(box[0].promised_by), box[0].accept, lambda answer, box=box: (
-                    box.__setitem__(0, box[0].with_answer(answer)) or box[0].is_agreed or box[0].is_lost))
-                if box[0].is_agreed:
-                    return box[0].accept.value
-            self.round = max(self.round, box[0].highest_ballot[0])
+    def acceptor_names(self) -> list[str]:
+        """The names of all acceptors, the local one first."""
+        return [self.name, *self.connections]
+
+    async def read(self, key: str) -> VersionedValue:
+        """Returns the newest agreed value, by one round trip if a majority answers alike, else by a round."""
+        answers: dict[str, PromiseReply] = {}
+        agreed_answers: list[PromiseReply] = []
+
+        def on_answer(answer: Answer) -> bool:
+            answers[answer.name] = answer
+            if (agreed := majority_value(answers, self.acceptor_count)) is not None:
+                agreed_answers.append(agreed)
+            return bool(agreed_answers)
+
+        await self._broadcast(self.acceptor_names, Peek(key), on_answer)
+        if agreed_answers:
+            return _versioned_value(agreed_answers[0].value)
+        if sum(answer.ok for answer in answers.values()) < majority(self.acceptor_count):
+            raise CallFailed(f"keeper {self.name} gets no answer from a majority of {self.acceptor_count} "
+                             "voting keepers")
+        async with self.change_lock:
+            return _versioned_value(await self._run_rounds(key, no_change))
+
+    async def change(self, key: str, expected_revision: int, data: object, change_id: str) -> int | None:
+        """See `Register.change`."""
+        change = Change(expected_revision, data, change_id)
+        async with self.change_lock:
+            return change.made_revision(await self._run_rounds(key, change))
+
+    async def _run_rounds(self, key: str, change: Callable[[object], object]) -> object:
+        """Runs rounds until one succeeds and returns the agreed value; raises UnknownOutcome if none does."""
+        for attempt in range(MAX_ROUNDS):
+            self.round_number += 1
+            first = Round(key, (self.round_number, self.proposer), change, self.acceptor_count)
+            current = [first]
+
+            def on_answer(answer: Answer, current: list[Round] = current) -> bool:
+                current[0] = current[0].with_answer(answer)
+                return current[0].accept is not None or current[0].is_lost
+
+            await self._broadcast(self.acceptor_names, first.prepare, on_answer)
+            if current[0].accept is not None:
+                await self._broadcast(
+                    sorted(current[0].promised_by), current[0].accept, lambda answer, current=current: (
+                        current.__setitem__(0, current[0].with_answer(answer))
+                        or current[0].is_agreed or current[0].is_lost))
+                if current[0].is_agreed:
+                    return current[0].accept.value
+            self.round_number = max(self.round_number, current[0].highest_ballot[0])
             await asyncio.sleep(random.uniform(0.0, 0.02 * 2 ** min(attempt, 5)))
-        raise Unknown(f"keeper {self.name} got no round through in {ROUNDS} tries")
+        raise UnknownOutcome(f"keeper {self.name} completed no round in {MAX_ROUNDS} attempts")
 
-    def glance(self, key: str) -> Held:
-        cell = self.store.keeper.registers.get(key)
-        return _held(cell.value if cell is not None else None)
+    def read_local(self, key: str) -> VersionedValue:
+        """Returns this acceptor's own value, which may be outdated or not agreed."""
+        register = self.store.acceptor.registers.get(key)
+        return _versioned_value(register.value if register is not None else None)
 
-    # Beginnings
+    # Founding and rejoining
 
-    async def found(self) -> str:
-        """Begin a record that was never there: every keeper has to be here, and none may hold anything.
+    async def found_record(self) -> str:
+        """Founds a new record: requires that every acceptor answers and that none has accepted a value.
 
-        Why that can't be; empty once it is done."""
-        if self.store.keeper.incarnation:
+        Returns the reason why it is not possible yet, or an empty string on success.
+        """
+        if self.store.acceptor.incarnation:
             return ""
-        heard: dict[str, RejoinReply] = {}
-        await self._gather(list(self.lines), RejoinRequest(self.name, 0),
-                           lambda a: heard.setdefault(a.name, a) is None)
-        if any(cell.accepted > ZERO for known in heard.values() for _, cell in known.registers):
-            return await self.rejoin()      # there is one: this one only missed its beginning
-        if missing := sorted(set(self.lines) - set(heard)):
-            return f"{', '.join(missing)} can't be asked whether there is a record"
-        self.store.begin(Acceptor(self.name, 1, True, {}, {}))
+        replies: dict[str, RejoinReply] = {}
+        await self._broadcast(list(self.connections), RejoinRequest(self.name, 0),
+                              lambda reply: replies.setdefault(reply.name, reply) is None)
+        if any(register.accepted > ZERO for reply in replies.values() for _, register in reply.registers):
+            return await self.rejoin()      # a record exists: this acceptor missed its founding
+        if missing := sorted(set(self.connections) - set(replies)):
+            return f"{', '.join(missing)} did not answer: cannot rule out that a record exists"
+        self.store.replace_state(Acceptor(self.name, 1, True, {}, {}))
         return ""
 
     async def rejoin(self) -> str:
-        """Catch up with the others, with a life that was never used; why that can't be yet, or empty."""
-        state = Rejoin(self.name, self.keepers, {})
+        """Restores the vote under an unused incarnation, with the state of the other acceptors.
+
+        Returns the reason why it is not possible yet, or an empty string on success.
+        """
+        state = Rejoin(self.name, self.acceptor_count, {})
         for _ in range(2):
-            box = [state]
-            before = box[0].request
-
-            def take(answer: Answer, box: list[Rejoin] = box, before: RejoinRequest = before) -> bool:
-                box[0] = box[0].with_reply(answer)
-                return box[0].request != before or box[0].acceptor is not None
-
-            await self._gather(list(self.lines), state.request, take)
-            state = box[0]
-        if (keeper := state.acceptor) is None:
-            return (f"it takes {majority(self.keepers)} other keepers that vote, "
-                    f"and {len(state.discovery_replies)} answer")
-        self.store.begin(keeper)
-        log.warning("keeper %s has caught up and votes again, in life %d", self.name, keeper.incarnation)
+            current = [state]
+            request = current[0].request
+
+            def on_answer(answer: Answer, current: list[Rejoin] = current, request: RejoinRequest = request) -> bool:
+                current[0] = current[0].with_reply(answer)
+                return current[0].request != request or current[0].acceptor is not None
+
+            await self._broadcast(list(self.connections), state.request, on_answer)
+            state = current[0]
+        if (acceptor := state.acceptor) is None:
+            return (f"it needs {majority(self.acceptor_count)} other voting keepers, "
+                    f"and {len(state.discovery_replies)} answered")
+        self.store.replace_state(acceptor)
+        log.warning("keeper %s has caught up and votes again, with incarnation %d", self.name, acceptor.incarnation)
         return ""
 
     def close(self) -> None:
-        for line in self.lines.values():
-            line.close()
+        """Closes the connections to the other acceptors."""
+        for connection in self.connections.values():
+            connection.close()
 
 
-def _held(value: object) -> Held:
+def _versioned_value(value: object) -> VersionedValue:
     if not value:
-        return Held(0, None)
-    return Held(value["rev"], value["data"], frozenset(made for made, _ in value["ids"]))
+        return VersionedValue(0, None)
+    return VersionedValue(value["rev"], value["data"], frozenset(change_id for change_id, _ in value["ids"]))
--- a/fennelpoint/fleet/coordinator.py
+++ b/fennelpoint/fleet/coordinator.py
@@ -21,10 +21,10 @@
 
 from fennelpoint.fleet import audit, logs, state, version_contents
 from fennelpoint.fleet.consensus import (
-    MOST_VALUE,
+    MAX_VALUE_BYTES,
     EmbeddedRegister,
-    Held,
     Register,
+    VersionedValue,
     decode_message,
     encode_answer,
 )
@@ -73,8 +73,8 @@
         self.store = Store(Path(section.folder), name)
         self.embedded = EmbeddedRegister(self.store, peers) if register is None else None
         self.register: Register = register or self.embedded
-        if register is not None and not self.store.keeper.incarnation:
-            self.store.begin(Acceptor(name, 1, True, {}, {}))     # it holds contents and spans only
+        if register is not None and not self.store.acceptor.incarnation:
+            self.store.replace_state(Acceptor(name, 1, True, {}, {}))     # it holds contents and spans only
         self.peers = peers
         self.conductor = Conductor()
         self.base: Base | None = None
@@ -108,7 +108,7 @@
 
     async def handle(self, call: dict) -> dict:
         if self.embedded is not None and (message := decode_message(call)) is not None:
-            return encode_answer(self.embedded.answer(message))
+            return encode_answer(self.embedded.handle_message(message))
         if (answer := self.calls.get(call["do"])) is None:
             raise ValueError(f"there is no call {call['do'][:40]!r}")
         return await answer(call)
@@ -128,8 +128,8 @@
             await asyncio.sleep(1.0 if quiet and not self.trouble else LOOK * random.uniform(0.8, 1.2))
 
     async def _look(self) -> None:
-        if self.embedded is not None and not self.embedded.votes:
-            why = await (self.embedded.rejoin() if self.founding is None else self.embedded.found())
+        if self.embedded is not None and not self.embedded.can_vote:
+            why = await (self.embedded.rejoin() if self.founding is None else self.embedded.found_record())
             if why:
                 await asyncio.sleep(AGAIN)
                 raise CallFailed(f"keeper {self.name} has no vote: {why}")
@@ -149,7 +149,7 @@
         if (step := self.conductor.look(fleet, self.base.revision, steady())) is not None:
             await self._propose(step)
 
-    def _take(self, held: Held, begun: float) -> None:
+    def _take(self, held: VersionedValue, begun: float) -> None:
         if self.base is not None and held.revision == self.base.revision:
             self.base.at = max(self.base.at, begun)
         elif self.base is None or held.revision > self.base.revision:
@@ -185,7 +185,7 @@
             return      # another keeper took it
         log.info(step.what, keeper=self.name, version=step.number, **({"why": step.why} if step.why else {}))
 
-    async def _change(self, step: Callable[[state.Fleet], state.Fleet], change_id: str) -> Held:
+    async def _change(self, step: Callable[[state.Fleet], state.Fleet], change_id: str) -> VersionedValue:
         """The record after the step; raises Refused where it can't be taken, CallFailed where nobody knows."""
         for _ in range(TRIES):
             begun = steady()
@@ -194,16 +194,16 @@
                 raise CallFailed("there is no record yet")
             fleet = state.read(held.data)
             self._take(held, begun)
-            if change_id in held.ids:
+            if change_id in held.change_ids:
                 return held     # made before, and the answer was lost
             value = step(fleet).value()
             if value == held.data:
                 return held
-            if len(json.dumps(value)) > MOST_VALUE:
-                raise state.Refused(f"the record would be larger than {MOST_VALUE} bytes")
+            if len(json.dumps(value)) > MAX_VALUE_BYTES:
+                raise state.Refused(f"the record would be larger than {MAX_VALUE_BYTES} bytes")
             revision = await self.register.change(state.KEY, held.revision, value, change_id)
             if revision is not None:
-                made = Held(revision, value) if revision == held.revision + 1 else await self.register.read(
+                made = VersionedValue(revision, value) if revision == held.revision + 1 else await self.register.read(
                     state.KEY)
                 if revision == held.revision + 1:
                     self._take(made, steady())
@@ -332,13 +332,13 @@
 
     async def set(self, call: dict) -> dict:
         """Change it on its revision: the revision that was made, or 0 where another came first."""
-        if len(json.dumps(call["data"])) > MOST_VALUE:
-            raise ValueError(f"the value is larger than {MOST_VALUE} bytes")
+        if len(json.dumps(call["data"])) > MAX_VALUE_BYTES:
+            raise ValueError(f"the value is larger than {MAX_VALUE_BYTES} bytes")
         made = await self.register.change(_key(call), int(call["expect"]), call["data"], str(call["change"]))
         return {"revision": made or 0}
 
     async def glance(self, call: dict) -> dict:
-        held = self.register.glance(state.KEY)
+        held = self.register.read_local(state.KEY)
         return {"revision": held.revision, "fleet": held.data, "old": True}
 
     async def spans(self, call: dict) -> dict:
@@ -422,8 +422,8 @@
 
     async def status(self, call: dict) -> dict:
         now, base = steady(), self.base
-        answer = {"keeper": self.name, "votes": self.embedded.votes if self.embedded is not None else True,
-                  "life": self.store.keeper.incarnation, "trouble": self.trouble, "clock": time.time(),
+        answer = {"keeper": self.name, "votes": self.embedded.can_vote if self.embedded is not None else True,
+                  "life": self.store.acceptor.incarnation, "trouble": self.trouble, "clock": time.time(),
                   "taken": dict(self.conductor.taken), "refused": dict(self.refused),
                   **(await self.words(call))}
         for entry in answer["words"]:
--- a/fennelpoint/fleet/etcd.py
+++ b/fennelpoint/fleet/etcd.py
@@ -1,9 +1,10 @@
-"""The same register over etcd's v3 API, by the client library `aetcd`, for installations that run one.
+"""The register of the fleet's state on etcd (v3 API, client library `aetcd`), for installations that run etcd.
+
+A key holds the same value as an embedded acceptor (revision, data, ids of changes) and is changed by a transaction
+that compares the key's mod_revision.  No etcd lease is used and only the newest revision is read, so that neither a
+lost lease nor a compaction loses anything.  A store whose revision went back was restored from a backup, and its
+answers are rejected.
 
-A key holds what an embedded keeper would hold (revision, data, ids of changes), changed by a transaction that
-compares the key's own mod_revision.  No lease of etcd is used, and only what is newest is read, so that neither a
-lease that is lost nor a compaction takes anything away.  A store whose revision went back was put back from a copy:
-it is not believed.
 """
 
 from __future__ import annotations
@@ -12,80 +13,86 @@
 
 import aetcd
 
-from fennelpoint.fleet.consensus import ROUNDS, Held, Unknown
+from fennelpoint.fleet.consensus import MAX_ROUNDS, UnknownOutcome, VersionedValue
 from fennelpoint.fleet.register import Change
 from fennelpoint.fleet.rpc import CallFailed
 
 PREFIX = b"/larchwing/"
-WAIT = 1            # s for a call; whole ones, as the library has it
+CALL_TIMEOUT_S = 1      # the client library takes whole seconds
 
 
 class EtcdRegister:
-    """`Register` (consensus.py) by one etcd endpoint."""
+    """Implements `Register` (consensus.py) on one etcd endpoint."""
 
     def __init__(self, endpoint: str) -> None:
         """`endpoint` is HOST:PORT."""
         self.endpoint = endpoint
         self.host, _, port = endpoint.rpartition(":")
         self.port, self.client = int(port), None
-        self.newest = 0         # the store's revision that was seen last
-        self.last: dict[str, Held] = {}
+        self.latest_revision = 0    # the highest revision of the etcd store in any answer
+        self.last_values: dict[str, VersionedValue] = {}
 
     async def _get(self, key: str) -> tuple[int, object]:
-        """The key's mod_revision, 0 where it is not there, and what it holds; linearizable, as etcd's reads are."""
-        if self.client is None:     # made where its loop runs
-            self.client = aetcd.Client(self.host, self.port, timeout=WAIT)
+        """Returns the key's mod_revision (0 if it does not exist) and its value, by a linearizable read."""
+        if self.client is None:     # created here because the client binds to the running event loop
+            self.client = aetcd.Client(self.host, self.port, timeout=CALL_TIMEOUT_S)
         try:
-            found = await self.client.get(PREFIX + key.encode())
+            response = await self.client.get(PREFIX + key.encode())
         except (aetcd.ClientError, OSError, TimeoutError) as error:
-            raise CallFailed(f"etcd at {self.endpoint} does not answer: {_words(error)}") from None
-        if found is None:
-            if key in self.last and self.last[key].revision:
-                raise CallFailed(f"etcd at {self.endpoint} has lost {key}: it is not believed")
+            raise CallFailed(f"etcd at {self.endpoint} does not answer: {_error_text(error)}") from None
+        if response is None:
+            if key in self.last_values and self.last_values[key].revision:
+                raise CallFailed(f"etcd at {self.endpoint} has lost {key}: its answer is rejected")
             return 0, None
-        revision = found.header.revision
-        if revision < self.newest:
-            raise CallFailed(f"the revision of etcd at {self.endpoint} went back from {self.newest} to {revision}: "
-                             "it was put back from a copy, and is not believed")
-        self.newest = revision
+        revision = response.header.revision
+        if revision < self.latest_revision:
+            raise CallFailed(f"the revision of etcd at {self.endpoint} went back from {self.latest_revision} "
+                             f"to {revision}: it was restored from a backup, its answers are rejected")
+        self.latest_revision = revision
         try:
-            value = json.loads(found.value)
-            Held(value["rev"], value["data"], frozenset(made for made, _ in value["ids"]))
+            value = json.loads(response.value)
+            VersionedValue(value["rev"], value["data"], frozenset(change_id for change_id, _ in value["ids"]))
         except (ValueError, KeyError, TypeError):
-            raise CallFailed(f"etcd at {self.endpoint} holds what is no register at {key}") from None
-        if key in self.last and value["rev"] < self.last[key].revision:
-            raise CallFailed(f"{key} at etcd went back from revision {self.last[key].revision} to {value['rev']}")
-        return found.mod_revision, value
+            raise CallFailed(f"etcd at {self.endpoint} holds an invalid register value at {key}") from None
+        if key in self.last_values and value["rev"] < self.last_values[key].revision:
+            raise CallFailed(f"{key} at etcd went back from revision {self.last_values[key].revision} "
+                             f"to {value['rev']}")
+        return response.mod_revision, value
 
-    async def read(self, key: str) -> Held:
+    async def read(self, key: str) -> VersionedValue:
+        """Returns the newest value; raises CallFailed if etcd does not answer or its data went back."""
         _, value = await self._get(key)
-        held = Held(value["rev"], value["data"], frozenset(m for m, _ in value["ids"])) if value else Held(0, None)
-        self.last[key] = held
-        return held
-
-    async def change(self, key: str, expect: int, data: object, change_id: str) -> int | None:
-        change = Change(expect, data, change_id)
-        for _ in range(ROUNDS):
-            mod, held = await self._get(key)
-            after = change(held)
-            if after is held:
-                return change.made_revision(held)
-            if held is None and expect:
+        current = (VersionedValue(value["rev"], value["data"], frozenset(change_id for change_id, _ in value["ids"]))
+                   if value else VersionedValue(0, None))
+        self.last_values[key] = current
+        return current
+
+    async def change(self, key: str, expected_revision: int, data: object, change_id: str) -> int | None:
+        """See `Register.change`."""
+        change = Change(expected_revision, data, change_id)
+        for _ in range(MAX_ROUNDS):
+            mod_revision, current = await self._get(key)
+            updated = change(current)
+            if updated is current:
+                return change.made_revision(current)
+            if current is None and expected_revision:
                 return None
-            name, text = PREFIX + key.encode(), json.dumps(after).encode()
+            name, text = PREFIX + key.encode(), json.dumps(updated).encode()
             try:
-                done, _ = await self.client.transaction(
-                    compare=[self.client.transactions.mod(name) == mod],
+                succeeded, _ = await self.client.transaction(
+                    compare=[self.client.transactions.mod(name) == mod_revision],
                     success=[self.client.transactions.put(name, text)], failure=[])
             except (aetcd.ClientError, OSError, TimeoutError) as error:
-                raise Unknown(f"etcd at {self.endpoint} gave no answer to a change: {_words(error)}") from None
-            if done:
-                return change.made_revision(after)
-        raise Unknown(f"{ROUNDS} changes at etcd, and others came before each")
+                raise UnknownOutcome(
+                    f"etcd at {self.endpoint} did not answer a change: {_error_text(error)}") from None
+            if succeeded:
+                return change.made_revision(updated)
+        raise UnknownOutcome(f"{MAX_ROUNDS} attempts of a change at etcd failed: other changes came first")
 
-    def glance(self, key: str) -> Held:
-        return self.last.get(key, Held(0, None))
+    def read_local(self, key: str) -> VersionedValue:
+        """Returns the value of the latest read, which may be outdated."""
+        return self.last_values.get(key, VersionedValue(0, None))
 
 
-def _words(error: BaseException) -> str:
+def _error_text(error: BaseException) -> str:
     return str(error) or type(error).__name__
--- a/fennelpoint/fleet/logs.py
+++ b/fennelpoint/fleet/logs.py
@@ -1,4 +1,4 @@
-"""Structured lines of the fleet's events: JSON on standard error, one an event."""
+"""Structured log of the fleet's events: one JSON object per line on standard error."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def configure() -> None:
+    """Configures structlog for this process."""
     structlog.configure(
         processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
                     structlog.processors.JSONRenderer()],
--- a/fennelpoint/fleet/store.py
+++ b/fennelpoint/fleet/store.py
@@ -1,7 +1,7 @@
-"""A keeper's file: what it promised and accepted, its life, contents and the audit's spans, in SQLite.
+"""The file of an acceptor in SQLite: promises and votes, incarnation, contents and the audit's spans.
 
-Each change of a vote is on disk (full sync) before it is told.  A file that can't be read, or is another
-keeper's, is set aside with one line, and the keeper starts without a vote.
+Each change of a promise or vote is on disk (full synchronization) before the acceptor answers.  A file that is
+damaged or belongs to another acceptor is set aside with a log line, and the acceptor starts without a vote.
 """
 
 from __future__ import annotations
@@ -30,193 +30,212 @@
     ingress TEXT NOT NULL, version INTEGER NOT NULL, row TEXT NOT NULL,
     PRIMARY KEY (ingress, version)) WITHOUT ROWID;
 """
-MOST_CONTENTS, MOST_BYTES = 64, 8_000_000   # beside those that are in use
-MOST_SPANS = 10_000     # of an ingress; past that the oldest half is rolled up
+MAX_UNNEEDED_CONTENTS, MAX_UNNEEDED_BYTES = 64, 8_000_000   # in addition to the retained ones
+MAX_SPANS_PER_INGRESS = 10_000  # beyond this, the oldest half is summarized
 
 
-def making_room(rows: Iterable[tuple[str, int]], kept: set[str]) -> list[str]:
-    """Digests of the contents that go, of those there are with their bytes, the oldest first."""
-    rest = [row for row in rows if row[0] not in kept]
-    gone, total = [], sum(size for _, size in rest)
-    for digest, size in rest:
-        if len(rest) - len(gone) <= MOST_CONTENTS and total <= MOST_BYTES:
+def contents_to_evict(rows: Iterable[tuple[str, int]], retained: set[str]) -> list[str]:
+    """Returns the digests of the contents to evict, oldest first, to observe the limits.
+
+    `rows` are (digest, bytes) of the stored contents, oldest first; those in `retained` are never evicted.
+    """
+    unneeded = [row for row in rows if row[0] not in retained]
+    evicted, total = [], sum(size for _, size in unneeded)
+    for digest, size in unneeded:
+        if len(unneeded) - len(evicted) <= MAX_UNNEEDED_CONTENTS and total <= MAX_UNNEEDED_BYTES:
             break
-        gone.append(digest)
+        evicted.append(digest)
         total -= size
-    return gone
+    return evicted
 
 
 class BadStore(Exception):
-    """Why a file is not used, in one line."""
+    """A file cannot be used; the text is the reason, in one line."""
 
 
 class Store:
-    """One keeper's file in a folder.  `votes` is whether what it holds may be voted by."""
+    """The file of one acceptor in a folder.
+
+    `acceptor` is its state as on disk; `acceptor.can_vote` is false until the file has been initialized.
+    """
 
-    def __init__(self, folder: Path, name: str, alone: bool = False) -> None:
-        """Raises OSError where the folder can't be written to; `alone`: no other process may read along."""
-        self.alone = alone
-        _make(folder)
+    def __init__(self, folder: Path, name: str, exclusive: bool = False) -> None:
+        """Opens or creates the file; raises OSError if the folder is not writable.
+
+        With `exclusive`, no other process may open the file, not even to read it.
+        """
+        self.exclusive = exclusive
+        _create_folder(folder)
         self.path, self.name = folder / f"{name}.keeper", name
         try:
-            self.keeper = self._open()
+            self.acceptor = self._open()
         except (sqlite3.Error, BadStore, ValueError, TypeError, KeyError) as error:
             aside = self.path.with_suffix(f".bad-{self.path.stat().st_mtime_ns}")
-            log.error("%s is not believed and set aside as %s: %s", self.path, aside.name, error)
+            log.error("%s cannot be used and was set aside as %s: %s", self.path, aside.name, error)
             self.db.close()
             for suffix in ("-wal", "-shm"):
                 self.path.with_name(self.path.name + suffix).unlink(missing_ok=True)
             self.path.rename(aside)
-            self.keeper = self._open()
+            self.acceptor = self._open()
 
     def _open(self) -> Acceptor:
-        fresh = not self.path.exists()
+        is_new = not self.path.exists()
         self.db = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False)
         self.db.execute("PRAGMA synchronous=FULL")
-        if self.alone:  # then no memory is shared for the journal
+        if self.exclusive:  # makes a shared-memory index of the journal unnecessary
             self.db.execute("PRAGMA locking_mode=EXCLUSIVE")
         self.db.execute("PRAGMA journal_mode=WAL")
-        if not fresh and [row[0] for row in self.db.execute("PRAGMA quick_check")] != ["ok"]:
-            raise BadStore("it is torn")
-        ours = fresh or self.db.execute("SELECT COUNT(*) FROM sqlite_master WHERE name = 'about'").fetchone()[0]
+        if not is_new and [row[0] for row in self.db.execute("PRAGMA quick_check")] != ["ok"]:
+            raise BadStore("it is damaged")
+        is_keeper_file = is_new or self.db.execute(
+            "SELECT COUNT(*) FROM sqlite_master WHERE name = 'about'").fetchone()[0]
         self.db.executescript(TABLES)
         about = dict(self.db.execute("SELECT key, value FROM about"))
         if not about:
-            if not ours or self.db.execute("SELECT COUNT(*) FROM cells").fetchone()[0]:
-                raise BadStore("it is no keeper's")
+            if not is_keeper_file or self.db.execute("SELECT COUNT(*) FROM cells").fetchone()[0]:
+                raise BadStore("it is not a keeper's file")
             return Acceptor(self.name, 0, False, {}, {})
         if about.get("schema") != str(SCHEMA) or about.get("name") != self.name:
-            raise BadStore(f"it is of keeper {about.get('name')!r} with schema {about.get('schema')!r}")
+            raise BadStore(f"it belongs to keeper {about.get('name')!r} with schema {about.get('schema')!r}")
         rows = list(self.db.execute("SELECT key, value, digest FROM cells ORDER BY key"))
-        if about.get("cells") != _sum(rows):
-            raise BadStore("its cells are not those that it had")
-        cells = {key: _cell(value, digest) for key, value, digest in rows}
-        return Acceptor(self.name, int(about["life"]), True, dict(self.db.execute("SELECT * FROM lives")), cells)
+        if about.get("cells") != _registers_digest(rows):
+            raise BadStore("its registers do not match their common checksum")
+        registers = {key: _parse_register(value, digest) for key, value, digest in rows}
+        return Acceptor(self.name, int(about["life"]), True, dict(self.db.execute("SELECT * FROM lives")), registers)
 
-    def begin(self, keeper: Acceptor) -> None:
-        """Vote as this from now on: a record that is founded, or what others knew."""
+    def replace_state(self, acceptor: Acceptor) -> None:
+        """Replaces the whole state, after founding a record or rejoining; from now on the acceptor votes."""
         self.db.execute("BEGIN IMMEDIATE")
         self.db.execute("DELETE FROM cells")
-        self._about(keeper)
-        for key in keeper.registers:
-            self._write(keeper, key)
-        self._seal()
+        self._save_identity(acceptor)
+        for key in acceptor.registers:
+            self._save_register(acceptor, key)
+        self._save_checksum()
         self.db.execute("COMMIT")
-        self.keeper = keeper
+        self.acceptor = acceptor
 
-    def _about(self, keeper: Acceptor) -> None:
-        rows = [("schema", str(SCHEMA)), ("name", keeper.name), ("life", str(keeper.incarnation))]
+    def _save_identity(self, acceptor: Acceptor) -> None:
+        rows = [("schema", str(SCHEMA)), ("name", acceptor.name), ("life", str(acceptor.incarnation))]
         self.db.executemany("INSERT OR REPLACE INTO about VALUES (?, ?)", rows)
-        self.db.executemany("INSERT OR REPLACE INTO lives VALUES (?, ?)", list(keeper.incarnations.items()))
+        self.db.executemany("INSERT OR REPLACE INTO lives VALUES (?, ?)", list(acceptor.incarnations.items()))
 
-    def _write(self, keeper: Acceptor, key: str) -> None:
-        cell = keeper.registers[key]
-        text = json.dumps([cell.promised, cell.accepted, cell.value], separators=(",", ":"))
+    def _save_register(self, acceptor: Acceptor, key: str) -> None:
+        register = acceptor.registers[key]
+        text = json.dumps([register.promised, register.accepted, register.value], separators=(",", ":"))
         self.db.execute("INSERT OR REPLACE INTO cells VALUES (?, ?, ?)", (key, text, _digest(text)))
 
-    def keep(self, keeper: Acceptor, key: str | None) -> None:
-        """What a message changed: one cell, or the lives that are known."""
-        if keeper is self.keeper or not keeper.can_vote:
-            self.keeper = keeper
-            return      # what one without a vote knows counts for nothing
+    def save(self, acceptor: Acceptor, key: str | None) -> None:
+        """Saves what a message changed: the register of the key or, without a key, the known incarnations."""
+        if acceptor is self.acceptor or not acceptor.can_vote:
+            self.acceptor = acceptor
+            return      # without a vote, its state does not count
         self.db.execute("BEGIN IMMEDIATE")
         if key is None:
-            self._about(keeper)
+            self._save_identity(acceptor)
         else:
-            self._write(keeper, key)
-            self._seal()
+            self._save_register(acceptor, key)
+            self._save_checksum()
         self.db.execute("COMMIT")
-        self.keeper = keeper
+        self.acceptor = acceptor
 
-    def undo(self) -> None:
-        """Leave a change that failed half way: the file is as it was before."""
+    def rollback(self) -> None:
+        """Rolls back a change that failed halfway: the file is as before."""
         if self.db.in_transaction:
             self.db.execute("ROLLBACK")
 
-    def _seal(self) -> None:
-        """What all cells are, so that one that is missing is missed."""
+    def _save_checksum(self) -> None:
+        """Saves a checksum over all registers, which reveals a missing one."""
         rows = self.db.execute("SELECT key, value, digest FROM cells ORDER BY key")
-        self.db.execute("INSERT OR REPLACE INTO about VALUES ('cells', ?)", (_sum(rows),))
+        self.db.execute("INSERT OR REPLACE INTO about VALUES ('cells', ?)", (_registers_digest(rows),))
 
     # Contents
 
     def content(self, digest: str) -> bytes | None:
+        """Returns the content with this digest, or None."""
         row = self.db.execute("SELECT data FROM contents WHERE digest = ?", (digest,)).fetchone()
         return row[0] if row is not None else None
 
-    def add_content(self, digest: str, data: bytes, at: float, kept: set[str]) -> list[str]:
-        """`kept` are digests that are in use: the oldest of the others make room; returns those.
+    def add_content(self, digest: str, data: bytes, at: float, retained: set[str]) -> list[str]:
+        """Saves a content, evicts the oldest unneeded ones beyond the limits and returns the digests of these.
 
-        Raises sqlite3.Error where the disk refuses: then nothing has changed."""
+        Contents in `retained` are never evicted.  Raises sqlite3.Error on a disk error; then nothing has changed.
+        """
         self.db.execute("BEGIN IMMEDIATE")
         try:
             self.db.execute("INSERT OR IGNORE INTO contents VALUES (?, ?, ?)", (digest, data, at))
             rows = self.db.execute("SELECT digest, length(data) FROM contents ORDER BY at")
-            gone = making_room(rows.fetchall(), {*kept, digest})
-            self.db.executemany("DELETE FROM contents WHERE digest = ?", [(old,) for old in gone])
+            evicted = contents_to_evict(rows.fetchall(), {*retained, digest})
+            self.db.executemany("DELETE FROM contents WHERE digest = ?", [(unneeded,) for unneeded in evicted])
             self.db.execute("COMMIT")
         except sqlite3.Error:
-            self.undo()
+            self.rollback()
             raise
-        return gone
+        return evicted
 
-    # Spans of the audit, as text
+    # Spans of the audit, as JSON text
 
     def add_spans(self, spans: dict[tuple[str, str, int], str]) -> None:
-        """By ingress, life and number; one that is there already is told anew."""
+        """Saves spans by (ingress, incarnation, sequence number); a span that exists is replaced."""
         self.db.execute("BEGIN")
         self.db.executemany("INSERT OR REPLACE INTO spans VALUES (?, ?, ?, ?)",
                             [(*key, span) for key, span in spans.items()])
         for ingress in {key[0] for key in spans}:
             (count,) = self.db.execute("SELECT COUNT(*) FROM spans WHERE ingress = ?", (ingress,)).fetchone()
-            if count > MOST_SPANS:
-                self._roll(ingress, count - MOST_SPANS // 2)
+            if count > MAX_SPANS_PER_INGRESS:
+                self._summarize_oldest(ingress, count - MAX_SPANS_PER_INGRESS // 2)
         self.db.execute("COMMIT")
 
-    def _roll(self, ingress: str, count: int) -> None:
-        """The oldest spans of an ingress become a row a version."""
-        # Loaded here: the whole system's store keeps no spans, and starts sooner without.
+    def _summarize_oldest(self, ingress: str, count: int) -> None:
+        """Summarizes the oldest spans of an ingress to one row per version."""
+        # Imported here because the store process of `fennelpoint.system` stores no spans and starts faster without
+        # this module.
         from fennelpoint.fleet.audit import Rolled, roll, span_of
 
         rows = list(self.db.execute("SELECT life, seq, span FROM spans WHERE ingress = ? "
                                     "ORDER BY json_extract(span, '$.begin[0]') LIMIT ?", (ingress, count)))
-        before = [Rolled(**_moments(json.loads(row[0]))) for row in self.db.execute(
+        before = [Rolled(**_with_moments(json.loads(row[0]))) for row in self.db.execute(
             "SELECT row FROM rolled WHERE ingress = ?", (ingress,))]
         for row in roll([span_of(json.loads(text)) for _, _, text in rows], before):
             self.db.execute("INSERT OR REPLACE INTO rolled VALUES (?, ?, ?)",
                             (ingress, row.version, json.dumps(asdict(row))))
         self.db.executemany("DELETE FROM spans WHERE ingress = ? AND life = ? AND seq = ?",
-                            [(ingress, life, seq) for life, seq, _ in rows])
+                            [(ingress, incarnation, seq) for incarnation, seq, _ in rows])
 
     def rolled(self, ingress: str | None = None) -> list[dict]:
+        """Returns the summaries of old spans, of one ingress or of all."""
         where, values = ("WHERE ingress = ?", (ingress,)) if ingress is not None else ("", ())
         return [json.loads(row[0]) for row in self.db.execute(f"SELECT row FROM rolled {where}", values)]
 
     def spans(self, ingress: str | None = None) -> list[str]:
+        """Returns the spans as JSON text, of one ingress or of all."""
         where, values = ("WHERE ingress = ?", (ingress,)) if ingress is not None else ("", ())
         return [row[0] for row in self.db.execute(f"SELECT span FROM spans {where}", values)]
 
     def close(self) -> None:
+        """Closes the file."""
         self.db.close()
 
 
-def _make(folder: Path) -> None:
-    """A folder that a loss of power does not take back: SQLite syncs the names in it, and not its own name."""
-    made = [one for one in (folder, *folder.parents) if not one.exists()]
+def _create_folder(folder: Path) -> None:
+    """Creates a folder and its missing parents so that they survive a power failure.
+
+    SQLite syncs the names inside the folder, but not the folder's own name in its parent.
+    """
+    missing = [directory for directory in (folder, *folder.parents) if not directory.exists()]
     folder.mkdir(parents=True, exist_ok=True)
-    for one in made:
-        place = os.open(one.parent, os.O_RDONLY)
+    for directory in missing:
+        descriptor = os.open(directory.parent, os.O_RDONLY)
         try:
-            os.fsync(place)
+            os.fsync(descriptor)
         finally:
-            os.close(place)
+            os.close(descriptor)
 
 
-def _moments(row: dict) -> dict:
+def _with_moments(row: dict) -> dict:
     return {**row, "first": tuple(row["first"]), "last": tuple(row["last"])}
 
 
-def _sum(rows: Iterable[tuple[str, str, str]]) -> str:
+def _registers_digest(rows: Iterable[tuple[str, str, str]]) -> str:
     return _digest(json.dumps([[key, digest] for key, _, digest in rows]))
 
 
@@ -224,8 +243,8 @@
     return sha256(text.encode()).hexdigest()
 
 
-def _cell(text: str, digest: str) -> RegisterState:
+def _parse_register(text: str, digest: str) -> RegisterState:
     if _digest(text) != digest:
-        raise BadStore("a cell's checksum does not fit")
+        raise BadStore("the checksum of a register does not match")
     promised, accepted, value = json.loads(text)
     return RegisterState(tuple(promised), tuple(accepted), value)
--- a/fennelpoint/system/store/program.py
+++ b/fennelpoint/system/store/program.py
@@ -23,10 +23,10 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings) -> None:
         self.loop, self.settings, me = loop, settings, settings.ip_address
-        self.disk = Disk(Path(settings.data_directory or "/tmp") / "writ", me, alone=True)
+        self.disk = Disk(Path(settings.data_directory or "/tmp") / "writ", me, exclusive=True)
         self.contents: dict[str, bytes] = {}    # cache of contents on disk, by digest
         self.mesh = Mesh(loop, "writ", me, settings.internal_ports, self.receive, self.connection_changed)
-        self.replica = Replica(me, settings.availability_zone, settings.zones, settings.seeds, self.disk.keeper,
+        self.replica = Replica(me, settings.availability_zone, settings.zones, settings.seeds, self.disk.acceptor,
                                settings.first_start and me in settings.seeds, self.content, Random(),
                                time.monotonic())
         self.replica.leaving.most = within(settings.rule_bounds.grace_period_s)
@@ -77,7 +77,7 @@
                     except (sqlite3.Error, OSError) as error:
                         if not self.replica.disk_error:
                             say(Event.DISK, step=type(action).__name__, reason=error)
-                        self.disk.undo()
+                        self.disk.rollback()
                         self.replica.disk_failed(str(error))
                         return
                 case DiskSynced():
@@ -91,9 +91,9 @@
             while len(self.contents) > 8:
                 self.contents.pop(next(iter(self.contents)))
         elif action.is_full:
-            self.disk.begin(action.acceptor)
+            self.disk.replace_state(action.acceptor)
         else:
-            self.disk.keep(action.acceptor, KEY if action.has_register else None)
+            self.disk.save(action.acceptor, KEY if action.has_register else None)
 
     def reload(self, settings: Settings) -> None:
         """Applies changed settings while running: only additional seeds take effect."""
--- a/fennelpoint/testing/core_simulation.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -15,7 +15,7 @@
 from random import Random
 
 from fennelpoint.fleet.register import Acceptor
-from fennelpoint.fleet.store import making_room
+from fennelpoint.fleet.store import contents_to_evict
 from fennelpoint.system.actions import Send, Violation
 from fennelpoint.system.frames import Unpacker, pack
 from fennelpoint.system.http_server import Asking, Reply
@@ -196,7 +196,7 @@
                     core.disk = keeper
                 case writ.SaveContent(digest, data, needed):
                     core.contents[digest] = data
-                    for gone in making_room([(d, len(c)) for d, c in core.contents.items()], {*needed, digest}):
+                    for gone in contents_to_evict([(d, len(c)) for d, c in core.contents.items()], {*needed, digest}):
                         del core.contents[gone]
 
     def _roll(self, core: Core, actions: list) -> None:
--- a/fennelpoint/testing/fault_injection.py
+++ b/fennelpoint/testing/fault_injection.py
@@ -57,7 +57,7 @@
     from fennelpoint.fleet.consensus import EmbeddedRegister
 
     async def read(self, key):
-        return self.glance(key)
+        return self.read_local(key)
 
     EmbeddedRegister.read = read
 
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -100,7 +100,7 @@
 
 
 def test_old_spans_are_rolled_up_and_tell_what_may_have_been(tmp_path, monkeypatch):
-    monkeypatch.setattr(store, "MOST_SPANS", 20)
+    monkeypatch.setattr(store, "MAX_SPANS_PER_INGRESS", 20)
     kept = store.Store(tmp_path, "k0")
     book = Book("n0", "a", 0, "z0")
     for at in range(50):
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -21,23 +21,23 @@
 
 def filled(folder: Path) -> Store:
     store = Store(folder, "k0")
-    store.begin(Acceptor("k0", 3, True, {"k1": 2}, {"x": RegisterState((1, "a"), (1, "a"), {"rev": 1})}))
+    store.replace_state(Acceptor("k0", 3, True, {"k1": 2}, {"x": RegisterState((1, "a"), (1, "a"), {"rev": 1})}))
     return store
 
 
 def test_a_keepers_file_comes_back_as_it_was(tmp_path):
     store = filled(tmp_path)
     after = Acceptor("k0", 3, True, {"k1": 2}, {"x": RegisterState((7, "b"), (1, "a"), {"rev": 1})})
-    store.keep(after, "x")
+    store.save(after, "x")
     store.close()
-    assert Store(tmp_path, "k0").keeper == after
+    assert Store(tmp_path, "k0").acceptor == after
 
 
 @pytest.mark.parametrize("harm, text", [
     (lambda path: path.write_bytes(b"garbage" * 1000), "not a database"),
     (lambda path: path.write_bytes(path.read_bytes()[:3000]), ""),
-    (lambda path: path.write_bytes(b""), "no keeper's"),
-    (lambda path: _execute(path, "UPDATE about SET value = 'k9' WHERE key = 'name'"), "of keeper 'k9'"),
+    (lambda path: path.write_bytes(b""), "not a keeper's file"),
+    (lambda path: _execute(path, "UPDATE about SET value = 'k9' WHERE key = 'name'"), "belongs to keeper 'k9'"),
     (lambda path: _execute(path, "UPDATE about SET value = '99' WHERE key = 'schema'"), "schema '99'"),
     (lambda path: _execute(path, "UPDATE cells SET value = '[[9,\"z\"],[9,\"z\"],1]'"), "checksum"),
     (lambda path: _execute(path, "DROP TABLE cells"), "")])
@@ -47,11 +47,11 @@
     store.close()
     harm(tmp_path / "k0.keeper")
     again = Store(tmp_path, "k0")
-    if again.keeper.registers:      # what was torn off was not needed
+    if again.acceptor.registers:      # what was torn off was not needed
         return
-    assert not again.keeper.can_vote and again.keeper.incarnation == 0
+    assert not again.acceptor.can_vote and again.acceptor.incarnation == 0
     assert "set aside" in caplog.text and text in caplog.text and list(tmp_path.glob("*.bad-*"))
-    assert not Store(tmp_path, "k0").keeper.can_vote       # nor after a restart
+    assert not Store(tmp_path, "k0").acceptor.can_vote       # nor after a restart
 
 
 def _execute(path: Path, statement: str) -> None:
--- a/tests/fleet/test_registers.py
+++ b/tests/fleet/test_registers.py
@@ -7,7 +7,13 @@
 
 import pytest
 
-from fennelpoint.fleet.consensus import EmbeddedRegister, Held, Unknown, decode_message, encode_answer
+from fennelpoint.fleet.consensus import (
+    EmbeddedRegister,
+    UnknownOutcome,
+    VersionedValue,
+    decode_message,
+    encode_answer,
+)
 from fennelpoint.fleet.etcd import EtcdRegister
 from fennelpoint.fleet.register import Acceptor
 from fennelpoint.fleet.rpc import CallFailed, Service, call_once
@@ -29,11 +35,11 @@
     made, services = [], []
     for name, address in ports.items():
         store = Store(tmp_path, name)
-        store.begin(Acceptor(name, 1, True, {}, {}))
+        store.replace_state(Acceptor(name, 1, True, {}, {}))
         one = EmbeddedRegister(store, {n: a for n, a in ports.items() if n != name})
 
         async def answer(call: dict, one=one) -> dict:
-            return encode_answer(one.answer(decode_message(call)))
+            return encode_answer(one.handle_message(decode_message(call)))
 
         services.append(Service("keeper", answer))
         await services[-1].listen(*address)
@@ -41,14 +47,14 @@
 
     def lose() -> None:
         """The proposer of the next change ends after its accepts are out."""
-        first, before = made[0], made[0]._agree
+        first, before = made[0], made[0]._run_rounds
 
         async def agree(key, change):
-            first._agree = before
+            first._run_rounds = before
             await before(key, change)
-            raise Unknown("the answer was lost")
+            raise UnknownOutcome("the answer was lost")
 
-        first._agree = agree
+        first._run_rounds = agree
 
     try:
         yield made, lose
@@ -78,7 +84,7 @@
     async def test() -> None:
         async with kind(tmp_path) as (registers, lose):
             one, other, third = registers
-            assert await one.read("x") == Held(0, None)
+            assert await one.read("x") == VersionedValue(0, None)
             assert await one.change("x", 0, {"a": 1}, "first") == 1
             assert (await other.read("x")).data == {"a": 1}
             assert await other.change("x", 0, "late", "second") is None     # another came first
@@ -88,10 +94,10 @@
             assert await one.change("y", 5, "c", "fifth") is None and (await one.read("y")).revision == 0
             # An answer that is lost after the change was made: the next try finds it.
             lose()
-            with pytest.raises(Unknown):
+            with pytest.raises(UnknownOutcome):
                 await one.change("x", 3, "d", "sixth")
             assert await other.change("x", 3, "d", "sixth") == 4
-            assert (await third.read("x")).revision == 4 and third.glance("x").revision <= 4
+            assert (await third.read("x")).revision == 4 and third.read_local("x").revision <= 4
             # All at once: each revision is made once.
             made = await asyncio.gather(*(registers[i % 3].change("x", 4, i, f"race {i}") for i in range(9)),
                                         return_exceptions=True)
--- a/tests/fleet/test_store_folder.py
+++ b/tests/fleet/test_store_folder.py
@@ -16,7 +16,7 @@
         fsync(place)
 
     monkeypatch.setattr(os, "fsync", noted)
-    Store(tmp_path / "data" / "writ", "a", alone=True).close()
+    Store(tmp_path / "data" / "writ", "a", exclusive=True).close()
     assert set(synced) == {tmp_path, tmp_path / "data"}
-    Store(tmp_path / "data" / "writ", "a", alone=True).close()
+    Store(tmp_path / "data" / "writ", "a", exclusive=True).close()
     assert len(synced) == 2     # nothing was made
--- a/tests/system/test_content_retention.py
+++ b/tests/system/test_content_retention.py
@@ -5,7 +5,7 @@
 
 from fennelpoint.fleet import store as disk
 from fennelpoint.fleet.register import Acceptor
-from fennelpoint.fleet.store import MOST_BYTES, MOST_CONTENTS, making_room
+from fennelpoint.fleet.store import MAX_UNNEEDED_BYTES, MAX_UNNEEDED_CONTENTS, contents_to_evict
 from fennelpoint.system.store.content_retention import RECEIVED_RETENTION_S, SUPERSEDED_RETENTION_S, retained_digests
 from fennelpoint.system.store.replica import REGISTRY, Replica, SaveContent, Send
 from fennelpoint.system.store.replicated_state import initial_state
@@ -33,7 +33,7 @@
                     self.replica.disk_failed("full")
                     return sent
                 self.disk[action.digest] = action.data
-                for evicted in making_room([(d, len(c)) for d, c in self.disk.items()],
+                for evicted in contents_to_evict([(d, len(c)) for d, c in self.disk.items()],
                                            {*action.retained, action.digest}):
                     del self.disk[evicted]
             elif isinstance(action, Send):
@@ -47,10 +47,10 @@
     machine.receive("b", ["store", 1, "slow", b"x"], 0.0)
     for turn in range(200):
         machine.receive("c", ["store", turn, f"quick{turn}", b"y"], 0.01 * turn)
-    assert "slow" in machine.disk and len(machine.disk) <= MOST_CONTENTS + 8
+    assert "slow" in machine.disk and len(machine.disk) <= MAX_UNNEEDED_CONTENTS + 8
     for turn in range(200):
         machine.receive("c", ["store", turn, f"later{turn}", b"y"], RECEIVED_RETENTION_S + 1.0 + 0.01 * turn)
-    assert "slow" not in machine.disk and len(machine.disk) <= MOST_CONTENTS + 8
+    assert "slow" not in machine.disk and len(machine.disk) <= MAX_UNNEEDED_CONTENTS + 8
 
 
 def test_retained_contents_are_those_of_states_of_changes_under_way_and_of_recently_superseded_states() -> None:
@@ -83,14 +83,14 @@
 
 
 def test_unneeded_contents_are_bounded_in_bytes_and_retained_ones_are_not_evicted(tmp_path: Path) -> None:
-    on_disk = disk.Store(tmp_path, "a", alone=True)
+    on_disk = disk.Store(tmp_path, "a", exclusive=True)
     assert on_disk.add_content("retained", b"k", 0.0, set()) == []
     evicted = [old for n in range(40)
                for old in on_disk.add_content(f"c{n:02}", bytes(500_000), 1.0 + n, {"retained"})]
-    assert evicted == [f"c{n:02}" for n in range(40 - 1 - MOST_BYTES // 500_000)]
+    assert evicted == [f"c{n:02}" for n in range(40 - 1 - MAX_UNNEEDED_BYTES // 500_000)]
     assert on_disk.content("retained") == b"k" and on_disk.content("c39") is not None and (
         on_disk.content("c00") is None)
-    assert on_disk.path.stat().st_size < 2 * MOST_BYTES + 4_000_000
+    assert on_disk.path.stat().st_size < 2 * MAX_UNNEEDED_BYTES + 4_000_000
 
 
 def test_allocator_retries_a_lost_configuration_and_grants_no_units_by_an_outdated_one() -> None:
--- a/tests/system/test_many_changes.py
+++ b/tests/system/test_many_changes.py
@@ -9,7 +9,7 @@
 from random import Random
 from time import process_time
 
-from fennelpoint.fleet.store import MOST_CONTENTS
+from fennelpoint.fleet.store import MAX_UNNEEDED_CONTENTS
 from fennelpoint.system.frames import pack
 from fennelpoint.system.mesh import ip_of
 from fennelpoint.testing.core_machines import Core, Front
@@ -164,7 +164,7 @@
     assert late["wipe, bytes"] < 1.2 * early["wipe, bytes"] + REQUEST_RECORD_BYTES * (
         late["changes"] - early["changes"])
     assert late["value, bytes"] < 1500 and late["fronts"] <= 3 + 5
-    assert late["on disk"] <= MOST_CONTENTS + 30 and late["in memory"] < 1.2 * early["in memory"]
+    assert late["on disk"] <= MAX_UNNEEDED_CONTENTS + 30 and late["in memory"] < 1.2 * early["in memory"]
 
 
 if __name__ == "__main__":
