--- a/fennelpoint/cli_fleet.py
+++ b/fennelpoint/cli_fleet.py
@@ -80,8 +80,8 @@
     from fennelpoint.fleet import state
     from fennelpoint.fleet.coordinator import run
 
-    founding = state.found(record, state.Bounds(licence_s, settle_s, share, zone_share, set_width, ring),
-                           after) if record else None
+    founding = state.initial_state(record, state.Bounds(licence_s, settle_s, share, zone_share, set_width, ring),
+                                   after) if record else None
     try:
         asyncio.run(run(operator_file, name, founding, click.echo))
     except FaultyFile as error:
@@ -108,7 +108,7 @@
                            (version_contents.ROUTES, routes)):
             if path is not None:
                 files[name] = Path(path).read_text(encoding="utf-8")
-        version_contents.check(files)
+        version_contents.parse_files(files)
         if routes is not None:
             from fennelpoint.routes.description import load
 
--- a/fennelpoint/fleet/version_contents.py
+++ b/fennelpoint/fleet/version_contents.py
@@ -1,8 +1,8 @@
-"""What a fleet version holds, and what going over to it means.
+"""The content of a fleet version, and whether a change of version takes something away.
 
-A content is a few files by name (`cells.toml`, `plans.toml`, `openapi.yaml`), as one canonical text with a digest.
-It is checked whole before it is offered, and again by each ingress before that says it is ready.  A change that
-takes something away is a *tightening*; whatever can't be told is taken for one.
+A content is a few files by name (`cells.toml`, `plans.toml`, `openapi.yaml`), serialized as one canonical text with a
+digest.  All of it is validated before it is offered, and again by each ingress before that reports it as prepared.  A
+change that takes something away is a *tightening*; so is every change for which this cannot be determined.
 """
 
 from __future__ import annotations
@@ -22,21 +22,24 @@
 from fennelpoint.validation_errors import Fault, FaultyFile
 
 SCHEMA = 1
-MOST = 4 << 20      # bytes of a content
+MAX_CONTENT_BYTES = 4 << 20
 CELLS, PLANS, ROUTES = "cells.toml", "plans.toml", "openapi.yaml"
 NAMES = (CELLS, PLANS, ROUTES)
-FIGURES = ("rate", "burst", "open_limit", "ceiling_rate", "ceiling_burst")
+LIMIT_FIELDS = ("rate", "burst", "open_limit", "ceiling_rate", "ceiling_burst")
 
 
 @dataclass(frozen=True, slots=True)
-class PlanFigures:
-    """[[plans]]: a plan's figures in place of those of the settings; what is left out stays as it is there."""
+class PlanLimits:
+    """[[plans]]: limits of a plan that replace those of the settings.
+
+    A key that is left out keeps the value of the settings (-1 here).
+    """
 
     name: str
-    quota_rate: float = figure(-1.0, 0.0, 1e9)      # units a second; 0: no quota
+    quota_rate: float = figure(-1.0, 0.0, 1e9)      # units/s; 0: no quota
     store_size: float = figure(-1.0, 0.0, 1e9)      # units
-    open_limit: int = figure(-1, 0, 1_000_000)      # requests open at once; 0: any
-    ceiling_rate: float = figure(-1.0, 0.0, 1e9)    # units a second
+    open_limit: int = figure(-1, 0, 1_000_000)      # open requests; 0: no limit
+    ceiling_rate: float = figure(-1.0, 0.0, 1e9)    # units/s
     ceiling_burst: float = figure(-1.0, 0.0, 1e9)   # units
 
 
@@ -45,17 +48,20 @@
     """The file `plans.toml`."""
 
     schema: int = 1
-    plans: list[PlanFigures] = field(default_factory=list)
+    plans: list[PlanLimits] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class Content:
-    """A version's content as it is used.  `routes` is the description's text, which a process of its own reads."""
+    """The parsed content of a version.
+
+    `routes` is the text of the OpenAPI description, which a process of its own parses.
+    """
 
     files: Mapping[str, str]
     digest: str
     cells: CellPlan | None = None
-    plans: tuple[PlanFigures, ...] = ()
+    plans: tuple[PlanLimits, ...] = ()
     routes: str = ""
 
 
@@ -63,39 +69,43 @@
 
 
 def pack(files: Mapping[str, str]) -> bytes:
-    """The one text that stands for these files."""
+    """Returns the canonical serialization of the files."""
     return json.dumps({"schema": SCHEMA, "files": dict(files)}, sort_keys=True, ensure_ascii=False,
                       separators=(",", ":")).encode()
 
 
 def digest_of(data: bytes) -> str:
+    """Returns the SHA-256 digest of a serialized content, in hexadecimal."""
     return sha256(data).hexdigest()
 
 
 def unpack(data: bytes, digest: str) -> Content:
-    """A content that was fetched; raises FaultyFile where it is not what the digest says, or has faults."""
-    if len(data) > MOST:
-        raise FaultyFile([Fault(digest[:12], 0, "", f"the content is larger than {MOST} bytes")])
+    """Parses a fetched content; raises FaultyFile if it does not match the digest or is invalid."""
+    if len(data) > MAX_CONTENT_BYTES:
+        raise FaultyFile([Fault(digest[:12], 0, "", f"the content is larger than {MAX_CONTENT_BYTES} bytes")])
     if digest_of(data) != digest:
-        raise FaultyFile([Fault(digest[:12], 0, "", "the content is not what its digest says")])
+        raise FaultyFile([Fault(digest[:12], 0, "", "the content does not match its digest")])
     try:
         value = json.loads(data)
         files, schema = value["files"], value["schema"]
         if not all(isinstance(text, str) for text in files.values()):
             raise TypeError
     except (ValueError, KeyError, TypeError, AttributeError):
-        raise FaultyFile([Fault(digest[:12], 0, "", "the content is no set of files")]) from None
+        raise FaultyFile([Fault(digest[:12], 0, "", "the content is not a set of files")]) from None
     if schema != SCHEMA:
-        raise FaultyFile([Fault(digest[:12], 0, "schema", f"{schema!r} is not known here: {SCHEMA} is")])
-    return check(files, digest)
+        raise FaultyFile([Fault(digest[:12], 0, "schema", f"{schema!r} is not supported: {SCHEMA} is")])
+    return parse_files(files, digest)
 
 
-def check(files: Mapping[str, str], digest: str = "") -> Content:
-    """Files as a content; raises FaultyFile with every fault of those that this program reads by itself."""
-    faults = [Fault(name, 0, "", f"it is no part of a version: {', '.join(NAMES)} are")
+def parse_files(files: Mapping[str, str], digest: str = "") -> Content:
+    """Parses the files of a content.
+
+    Raises FaultyFile with every fault found here; the OpenAPI description is parsed elsewhere.
+    """
+    faults = [Fault(name, 0, "", f"it is not a file of a version: {', '.join(NAMES)} are")
               for name in files if name not in NAMES]
     if not files:
-        faults.append(Fault("", 0, "", "a version holds one file at least"))
+        faults.append(Fault("", 0, "", "a version needs at least one file"))
     cells, plans = None, ()
     with TemporaryDirectory(prefix="larchwing-") as folder:
         for name, text in files.items():
@@ -116,73 +126,76 @@
     return Content(dict(files), digest or digest_of(pack(files)), cells, plans, files.get(ROUTES, ""))
 
 
-def _read_plans(path: Path) -> tuple[PlanFigures, ...]:
-    made, fault = read_typed(path, PlansFile)
-    if made is not None:
-        if made.schema != 1:
-            fault(("schema",), f"{made.schema} is not known here: this program reads 1")
-        if not made.plans:
+def _read_plans(path: Path) -> tuple[PlanLimits, ...]:
+    file, fault = read_typed(path, PlansFile)
+    if file is not None:
+        if file.schema != 1:
+            fault(("schema",), f"{file.schema} is not supported: this program reads 1")
+        if not file.plans:
             fault((), "it has no [[plans]]")
-        names = [plan.name for plan in made.plans]
-        for i, plan in enumerate(made.plans):
+        names = [plan.name for plan in file.plans]
+        for i, plan in enumerate(file.plans):
             if plan.name in names[:i]:
-                fault(("plans", str(i), "name"), f"{plan.name!r} is given twice")
+                fault(("plans", str(i), "name"), f"{plan.name!r} appears twice")
             if plan.quota_rate > 0.0 and plan.store_size == 0.0:
-                fault(("plans", str(i), "store_size"), "a quota with a store of nothing lets nothing in")
+                fault(("plans", str(i), "store_size"), "a quota with a store size of 0 admits nothing")
     fault.end()
-    return tuple(made.plans)
+    return tuple(file.plans)
 
 
-def figures(settings: list[api.Plan], content: Content) -> list[api.Plan]:
-    """The plans of the settings with a content's figures; raises FaultyFile where it names one there is not."""
-    told = {plan.name: plan for plan in content.plans}
-    unknown = sorted(set(told) - {plan.name for plan in settings})
+def apply_limits(settings: list[api.Plan], content: Content) -> list[api.Plan]:
+    """Returns the plans of the settings with the limits of a content.
+
+    Raises FaultyFile if the content names a plan that the settings lack, or if a ceiling is lower than the quota.
+    """
+    limits_by_plan = {plan.name: plan for plan in content.plans}
+    unknown = sorted(set(limits_by_plan) - {plan.name for plan in settings})
     if unknown:
         raise FaultyFile([Fault(PLANS, 0, name, "the settings have no such plan") for name in unknown])
-    out = []
+    plans = []
     for plan in settings:
-        new = told.get(plan.name)
-        changes = {} if new is None else {
-            own: value for own, value in (
-                ("rate", new.quota_rate), ("burst", new.store_size), ("open_limit", new.open_limit),
-                ("ceiling_rate", new.ceiling_rate), ("ceiling_burst", new.ceiling_burst)) if value >= 0}
-        made = replace(plan, **changes)
-        if made.ceiling_rate and (made.ceiling_rate < made.rate or made.ceiling_burst < made.burst):
-            raise FaultyFile([Fault(PLANS, 0, plan.name, "its ceiling is under its quota")])
-        out.append(made)
-    return out
-
-
-def _limit(name: str, value: float) -> float:
-    """For comparing: no limit is the highest."""
+        limits = limits_by_plan.get(plan.name)
+        changes = {} if limits is None else {
+            field_name: value for field_name, value in (
+                ("rate", limits.quota_rate), ("burst", limits.store_size), ("open_limit", limits.open_limit),
+                ("ceiling_rate", limits.ceiling_rate), ("ceiling_burst", limits.ceiling_burst)) if value >= 0}
+        updated = replace(plan, **changes)
+        if updated.ceiling_rate and (updated.ceiling_rate < updated.rate or updated.ceiling_burst < updated.burst):
+            raise FaultyFile([Fault(PLANS, 0, plan.name, "its ceiling is lower than its quota")])
+        plans.append(updated)
+    return plans
+
+
+def _comparable(name: str, value: float) -> float:
+    """Returns a value for comparison: 0 means no limit and counts as infinity, except for `burst`."""
     return float("inf") if value == 0 and name in ("open_limit", "ceiling_rate", "ceiling_burst", "rate") else value
 
 
-def least(one: list[api.Plan], other: list[api.Plan]) -> list[api.Plan]:
-    """The smaller of each figure: what holds while either may be acted on."""
-    return [replace(a, **{name: min(getattr(a, name), getattr(b, name), key=lambda v, n=name: _limit(n, v))
-                          for name in FIGURES})
-            for a, b in zip(one, other, strict=True)]
+def minimum_limits(first: list[api.Plan], second: list[api.Plan]) -> list[api.Plan]:
+    """Returns the smaller of each limit, to apply while either version may be acted on."""
+    return [replace(a, **{name: min(getattr(a, name), getattr(b, name), key=lambda v, n=name: _comparable(n, v))
+                          for name in LIMIT_FIELDS})
+            for a, b in zip(first, second, strict=True)]
 
 
-def kind(settings: list[api.Plan] | None, old: Content, new: Content) -> str:
-    """Whether going over takes something away.
+def change_kind(settings: list[api.Plan] | None, old: Content, new: Content) -> str:
+    """Returns whether the change from `old` to `new` is a loosening or a tightening.
 
-    Without the settings, figures that one file leaves out and the other gives can't be compared: a tightening.
+    Without the settings, limits that only one of the contents sets cannot be compared, which makes it a tightening.
     """
     if settings is not None:
-        before, after = figures(settings, old), figures(settings, new)
-        if any(_limit(name, getattr(b, name)) < _limit(name, getattr(a, name))
-               for a, b in zip(before, after, strict=True) for name in FIGURES):
+        before, after = apply_limits(settings, old), apply_limits(settings, new)
+        if any(_comparable(name, getattr(b, name)) < _comparable(name, getattr(a, name))
+               for a, b in zip(before, after, strict=True) for name in LIMIT_FIELDS):
             return TIGHTENING
-    elif not _only_more(old.plans, new.plans):
+    elif not _only_increases(old.plans, new.plans):
         return TIGHTENING
     if old.cells != new.cells or old.routes != new.routes:
         return TIGHTENING
     return LOOSENING
 
 
-def _only_more(old: tuple[PlanFigures, ...], new: tuple[PlanFigures, ...]) -> bool:
+def _only_increases(old: tuple[PlanLimits, ...], new: tuple[PlanLimits, ...]) -> bool:
     names = ("quota_rate", "store_size", "open_limit", "ceiling_rate", "ceiling_burst")
     before, after = ({plan.name: plan for plan in plans} for plans in (old, new))
     return before.keys() == after.keys() and all(
--- a/tests/fleet/test_plan_parameters.py
+++ b/tests/fleet/test_plan_parameters.py
@@ -76,49 +76,52 @@
 
 
 @pytest.mark.parametrize("files, text", [
-    ({"other.toml": ""}, "other.toml: it is no part of a version"),
-    ({}, "a version holds one file at least"),
+    ({"other.toml": ""}, "other.toml: it is not a file of a version"),
+    ({}, "a version needs at least one file"),
     ({"plans.toml": "[[plans]]\nname = 3\n"}, "plans.toml:2: plans.0.name: 3 is not a text"),
     ({"plans.toml": "[[plans]]\nquota = 3\n"}, "is quota_rate meant?"),
     ({"plans.toml": "schema = 1\n"}, "it has no [[plans]]"),
-    ({"plans.toml": '[[plans]]\nname = "a"\n[[plans]]\nname = "a"\n'}, "plans.1.name: 'a' is given twice"),
-    ({"plans.toml": '[[plans]]\nname = "a"\nquota_rate = 1\nstore_size = 0\n'}, "lets nothing in"),
+    ({"plans.toml": '[[plans]]\nname = "a"\n[[plans]]\nname = "a"\n'}, "plans.1.name: 'a' appears twice"),
+    ({"plans.toml": '[[plans]]\nname = "a"\nquota_rate = 1\nstore_size = 0\n'}, "admits nothing"),
     ({"cells.toml": "version = 1\n"}, "cells.toml: it has neither"),
 ])
 def test_faults_of_a_content_are_named_with_file_line_and_place(files, text):
     with pytest.raises(FaultyFile) as caught:
-        version_contents.check(files)
+        version_contents.parse_files(files)
     assert text in str(caught.value)
 
 
 @pytest.mark.parametrize("data, text", [
-    (b"{}", "is no set of files"), (b"\xff", "is no set of files"), (b"[]", "is no set of files"),
-    (b'{"schema":2,"files":{}}', "schema"), (b'{"schema":1,"files":{"plans.toml":3}}', "is no set of files")])
+    (b"{}", "is not a set of files"), (b"\xff", "is not a set of files"), (b"[]", "is not a set of files"),
+    (b'{"schema":2,"files":{}}', "schema"), (b'{"schema":1,"files":{"plans.toml":3}}', "is not a set of files")])
 def test_a_content_that_is_not_one_is_not_taken(data, text):
     with pytest.raises(FaultyFile, match=text):
         version_contents.unpack(data, version_contents.digest_of(data))
-    with pytest.raises(FaultyFile, match="not what its digest says"):
+    with pytest.raises(FaultyFile, match="does not match its digest"):
         version_contents.unpack(data + b" ", version_contents.digest_of(data))
 
 
 def test_what_a_change_takes_away_makes_it_a_tightening():
     settings = make_settings().plans
-    old = version_contents.check(GOOD)
+    old = version_contents.parse_files(GOOD)
     for rate, burst, kind in ((4, 8, LOOSENING), (5, 8, LOOSENING), (3, 8, TIGHTENING), (9, 7, TIGHTENING),
                               (0, 8, LOOSENING)):
         text = f'[[plans]]\nname = "hard"\nquota_rate = {rate}\nstore_size = {burst}\n'
-        new = version_contents.check({"plans.toml": text})
-        assert version_contents.kind(settings, old, new) == kind, (rate, burst)
+        new = version_contents.parse_files({"plans.toml": text})
+        assert version_contents.change_kind(settings, old, new) == kind, (rate, burst)
         if rate:
-            assert version_contents.kind(None, old, new) == kind
-    assert version_contents.kind(settings, old, version_contents.check({**GOOD, **content_of(1)})) == TIGHTENING
-    assert version_contents.kind(None, version_contents.EMPTY, old) == TIGHTENING
-    unknown = version_contents.check({"plans.toml": '[[plans]]\nname = "none"\nquota_rate = 4\nstore_size = 8\n'})
+            assert version_contents.change_kind(None, old, new) == kind
+    assert version_contents.change_kind(
+        settings, old, version_contents.parse_files({**GOOD, **content_of(1)})) == TIGHTENING
+    assert version_contents.change_kind(None, version_contents.EMPTY, old) == TIGHTENING
+    unknown = version_contents.parse_files(
+        {"plans.toml": '[[plans]]\nname = "none"\nquota_rate = 4\nstore_size = 8\n'})
     with pytest.raises(FaultyFile, match="the settings have no such plan"):
-        version_contents.figures(settings, unknown)
-    one, other = version_contents.figures(settings, old), version_contents.figures(settings, version_contents.check(
-        {"plans.toml": '[[plans]]\nname = "hard"\nquota_rate = 2\nstore_size = 20\n'}))
-    least = version_contents.least(one, other)
+        version_contents.apply_limits(settings, unknown)
+    one, other = version_contents.apply_limits(settings, old), version_contents.apply_limits(
+        settings, version_contents.parse_files(
+            {"plans.toml": '[[plans]]\nname = "hard"\nquota_rate = 2\nstore_size = 20\n'}))
+    least = version_contents.minimum_limits(one, other)
     assert (least[HARD].rate, least[HARD].burst) == (2.0, 8.0)
 
 
