--- a/fennelpoint/components.py
+++ b/fennelpoint/components.py
@@ -70,9 +70,9 @@
     """A licence for the fleet's version, where the operator file has a fleet section."""
     if ingress.config.operator is None or (section := ingress.config.operator.fleet) is None:
         return None
-    from fennelpoint.fleet.component import FleetPart
+    from fennelpoint.fleet.component import FleetComponent
 
-    return FleetPart(ingress, section)
+    return FleetComponent(ingress, section)
 
 
 MAKERS: dict[str, Callable[[Carrier], Part | None]] = {
--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -1,7 +1,7 @@
-"""The fleet's part of a running ingress: asks keepers and peers, carries out what `version_lease.py` says.
+"""The fleet component of a running ingress: calls keepers and peers, and executes the actions of `version_lease.py`.
 
-Loaded only where the operator file has a `fleet` section.  Nothing is decided here.  The gate that the host asks
-before each send is a look at one clock.
+Loaded only if the operator file has a `fleet` section.  It decides nothing itself.  The gate that the host calls
+before each send only compares a clock.
 """
 
 from __future__ import annotations
@@ -26,7 +26,16 @@
 from fennelpoint.fleet import audit, logs, plan_parameters, state, version_contents
 from fennelpoint.fleet.disk_ring_buffer import Ring
 from fennelpoint.fleet.rpc import CallFailed, Line, Service
-from fennelpoint.fleet.version_lease import Act, Action, Admit, Fetch, Licence, PeerWord, Shut, Told
+from fennelpoint.fleet.version_lease import (
+    Action,
+    ActivateVersion,
+    FetchContent,
+    LogLine,
+    PeerReport,
+    StartServing,
+    StopServing,
+    VersionLease,
+)
 from fennelpoint.lifecycle import Event
 from fennelpoint.operator_config import FleetSection, address_of
 from fennelpoint.validation_errors import Fault, FaultyFile
@@ -34,23 +43,23 @@
 if TYPE_CHECKING:
     from fennelpoint.routes.table import RouteTable
 
-FIRST = 0.3         # s between calls until a licence's life is known; then a quarter of that
-SUSPECT = 2.0       # s that a keeper which did not answer is asked after the others
-MARK = 0.5          # s between two marks of the audit: what a kill may lose of it
-REFETCH = 0.5       # s until a content that could not be had is asked for again
-MOST_PEERS = 64     # calls to peers at a time
-TELL = 1            # peers that are behind, told at a time
+INITIAL_CALL_INTERVAL_S = 0.3   # between calls until the term of a lease is known; then a quarter of the term
+SUSPECT_S = 2.0                 # during which a keeper that did not answer is called after the others
+AUDIT_MARK_INTERVAL_S = 0.5     # between marks of the audit: the time of which a kill can lose the record
+REFETCH_DELAY_S = 0.5           # until a content that could not be fetched is requested again
+MAX_PEER_CALLS = 64             # concurrent calls to peers, and reports of peers relayed in one call
+MAX_NOTIFIED_PEERS = 1          # peers behind that are notified after one answer of a keeper
 log = structlog.get_logger("larchwing.fleet")
 
 
-def steady() -> float:
-    """Seconds of a clock that counts while the process, or the machine, is stopped."""
+def boottime_s() -> float:
+    """Returns the seconds of a clock that also counts while the process or the machine is stopped."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclass(slots=True)
-class Ready:
-    """A content that was checked and can be gone over to at once."""
+class PreparedContent:
+    """A validated content that can be activated at once."""
 
     content: version_contents.Content
     data: bytes
@@ -58,93 +67,101 @@
     table: RouteTable | None = None
 
 
-class FleetPart(Part):
+class FleetComponent(Part):
     """One process of an ingress in its fleet."""
 
     def __init__(self, ingress: Carrier, section: FleetSection) -> None:
         logs.configure()
         config, settings = ingress.config, ingress.config.settings
         self.ingress, self.section, self.name, self.loop = ingress, section, config.name, ingress.loop
-        self.life = secrets.token_hex(6)
+        self.incarnation = secrets.token_hex(6)
         zone = settings.zones[settings.zone] if settings.zone < len(settings.zones) else str(settings.zone)
         self.member = state.Member(settings.me, zone, section.advertise or section.listen)
-        self.licence = Licence(self.name)
-        self.own_plans, self.own_table = list(settings.plans), None
-        self.plans, self.stamp, self.mixed = self.own_plans, 0, False
-        self.calm_at = 0.0      # when the counter's word counts again after other figures came
+        self.lease = VersionLease(self.name)
+        self.configured_plans, self.configured_table = list(settings.plans), None
+        self.plans, self.stamp, self.is_mixed = self.configured_plans, 0, False
+        # When totals of the external counter count again after a change of limits; 0: not scheduled.
+        self.unmixed_at = 0.0
         plan_parameters.attach(ingress.host.controller)
-        self.ready: dict[str, Ready] = {"": Ready(version_contents.EMPTY, b"", self.own_plans)}
-        self.acting: Ready = self.ready[""]
-        self.keepers = {name: Line(*address) for name, address in map(address_of, section.keepers)}
-        self.suspect: dict[str, float] = {}
-        self.given = dict(map(address_of, section.peers))
-        self.peers: dict[str, Line] = {}
-        self.turn = random.randrange(1 << 20)
-        self.passing: dict[str, tuple[float, dict]] = {}    # words of peers that hear no keeper, and when they came
-        self.soon = asyncio.Event()
+        self.prepared: dict[str, PreparedContent] = {
+            "": PreparedContent(version_contents.EMPTY, b"", self.configured_plans)}
+        self.active: PreparedContent = self.prepared[""]
+        self.keeper_connections = {name: Line(*address) for name, address in map(address_of, section.keepers)}
+        self.suspected_until: dict[str, float] = {}
+        self.configured_peers = dict(map(address_of, section.peers))
+        self.peer_connections: dict[str, Line] = {}
+        self.keeper_turn = random.randrange(1 << 20)
+        # By peer that reaches no keeper: time of receipt and report.
+        self.relayed_reports: dict[str, tuple[float, dict]] = {}
+        self.renew_now = asyncio.Event()
         self.service = Service("fleet", self.handle)
         self.tasks: list[asyncio.Task] = []
-        self.time = audit.FleetTime()
-        self.book = audit.Book(self.name, self.life, self.member.number, zone)
-        self.before: list[audit.Span] = []      # of the life before, from its ring
-        self.ring: Ring | None = None
+        self.fleet_time = audit.FleetTime()
+        self.audit_book = audit.Book(self.name, self.incarnation, self.member.number, zone)
+        self.previous_spans: list[audit.Span] = []      # of previous incarnations, from the ring file
+        self.audit_ring: Ring | None = None
         self.folder = Path(section.folder) if section.folder else None
         self.origin = "{}/{}:{}".format(_boot_id(), *config.listen)
-        self.kept = 0           # the revision that is on disk
-        self.last_renewed, self.trouble, self.refused = 0.0, "", ""
+        self.saved_revision = 0     # the revision of the fleet state on disk
+        self.last_renewed_at, self.error, self.refusal = 0.0, "", ""
         self.cells = ingress.host.cells
         ingress.life.handle(Event.BAR, time.monotonic())
         ingress.host.gate = self.may_send
         ingress.host.post(api.Barred(True))
-        self.peer_calls: dict[str, Callable] = {
-            "peer": self._say, "content": self._content, "tell": self._told, "status": self._status,
-            "spans": self._spans}
+        self.calls: dict[str, Callable] = {
+            "peer": self._on_peer, "content": self._on_content, "tell": self._on_tell, "status": self._on_status,
+            "spans": self._on_spans}
 
     def may_send(self) -> bool:
-        """The gate: right before each send, by a clock that counts while we are stopped."""
-        if self.licence.valid(now := steady()):
+        """Whether a request may be sent now; the gate of each send.
+
+        It reads a clock that also counts while the process is stopped.
+        """
+        if self.lease.is_valid(now := boottime_s()):
             return True
-        self._do(self.licence.look(now))
+        self._execute(self.lease.update(now))
         return False
 
-    # Beginning and end
+    # Start and end
 
     async def start(self) -> None:
+        """Restores the state from disk, opens the port and starts the background loops."""
         if self.folder is not None:
             self._restore()
         reader = self.ingress.server.reader
-        self.own_table = getattr(reader, "table", None)
+        self.configured_table = getattr(reader, "table", None)
         _, (host, port) = address_of("=" + self.section.listen)
         await self.service.listen(host, port, reuse_port=self.ingress.config.inherited is not None)
-        self.tasks = [asyncio.ensure_future(loop) for loop in (self._renew_on(), self._mark_on())]
+        self.tasks = [asyncio.ensure_future(loop) for loop in (self._renew_loop(), self._mark_loop())]
 
     def close(self) -> None:
-        self.book.end("the process ends", self.time.at(steady()))
-        self._note()
+        """Ends the audit and closes every task, socket and file."""
+        self.audit_book.end("the process ends", self.fleet_time.at(boottime_s()))
+        self._save_spans()
         for task in self.tasks:
             task.cancel()
         self.service.close()
-        for line in (*self.keepers.values(), *self.peers.values()):
-            line.close()
-        if self.ring is not None:
-            self.ring.close()
+        for connection in (*self.keeper_connections.values(), *self.peer_connections.values()):
+            connection.close()
+        if self.audit_ring is not None:
+            self.audit_ring.close()
 
     @property
-    def others(self) -> int:
-        """Further processes of this ingress that live."""
+    def sibling_count(self) -> int:
+        """The number of further live processes of this ingress."""
         twins = self.ingress.parts.get("twins")
         return len(twins.relay.living()) if twins is not None else 0
 
     def _restore(self) -> None:
-        """What the life before left; what can't be used is set aside with one line."""
+        """Restores the state that the previous process left; an unusable file is set aside with one log line."""
         try:
             (self.folder / "contents").mkdir(parents=True, exist_ok=True)
         except OSError as error:
             log.error("no folder", ingress=self.name, why=f"{self.folder}: {error.strerror}")
             self.folder = None
             return
-        self.ring = Ring(self.folder / f"{self.name}.audit")
-        lines, gap = self.ring.read()
+        self.audit_ring = Ring(self.folder / f"{self.name}.audit")
+        lines, gap = self.audit_ring.read()
         if gap:
             log.error("gap in the audit", ingress=self.name, why=gap)
         spans = []
@@ -153,39 +170,40 @@
                 spans.append(audit.span_of(json.loads(line)))
             except ValueError:
                 continue
-        self.before = audit.newest(spans)[-100:]
+        self.previous_spans = audit.newest(spans)[-100:]
         path = self.folder / f"{self.name}.state"
         try:
             check, _, text = path.read_bytes().partition(b" ")
             if check != b"%08x" % crc32(text):
-                raise ValueError("it is torn")
+                raise ValueError("it is damaged")
             value = json.loads(text)
             if value["name"] != self.name:
-                raise ValueError(f"it is of {value['name']!r}")
-            fleet = state.read(value["fleet"])
-            same_boot = value["boot"] == _boot_id()
-            self.licence.restored(fleet, int(value["revision"]), int(value["acting"]), same_boot)
+                raise ValueError(f"it belongs to {value['name']!r}")
+            fleet = state.parse(value["fleet"])
+            is_same_boot = value["boot"] == _boot_id()
+            self.lease.restore(fleet, int(value["revision"]), int(value["acting"]), is_same_boot)
         except FileNotFoundError:
             return
         except (OSError, ValueError, KeyError, TypeError) as error:
             log.error("state set aside", ingress=self.name, file=str(path), why=str(error))
-            _quietly(lambda: path.rename(path.with_suffix(".bad")))
+            _ignore_os_errors(lambda: path.rename(path.with_suffix(".bad")))
             return
         for digest in {fleet.target.digest, fleet.version.digest, str(value.get("digest", ""))}:
             if digest:
-                self._take_data(digest, self._on_disk(digest))
+                self._prepare(digest, self._content_on_disk(digest))
 
-    def _on_disk(self, digest: str) -> bytes | None:
+    def _content_on_disk(self, digest: str) -> bytes | None:
+        """Returns a content from disk, or None."""
         try:
             return (self.folder / "contents" / digest).read_bytes() if self.folder is not None else None
         except OSError:
             return None
 
-    def _write(self, path: Path, data: bytes) -> bool:
-        """Whole or not at all; a full disk is told, and changes nothing.
+    def _write_file(self, path: Path, data: bytes) -> bool:
+        """Writes a file atomically; a full disk is logged and changes nothing.
 
-        Not synced: this is for a process that is killed.  After a crash of the machine nothing rests on it, as
-        the boot's id is in it, and our loop never waits for a disk.
+        The file is not synced, since it only has to survive a kill of the process: after a crash of the machine
+        nothing relies on it, because it contains the boot id.  So the event loop never waits for a disk.
         """
         draft = path.with_suffix(".draft")
         try:
@@ -197,179 +215,189 @@
             log.error("not written", ingress=self.name, file=str(path), why=error.strerror)
             return False
 
-    def _keep_state(self) -> None:
-        if self.folder is not None and self.licence.fleet is not None:
-            licence = self.licence
-            text = json.dumps({"name": self.name, "boot": _boot_id(), "acting": licence.acting,
-                               "revision": licence.revision,
-                               "digest": licence.digest, "fleet": licence.fleet.value()}).encode()
-            self.kept = self.licence.revision
+    def _save_state(self) -> None:
+        if self.folder is not None and self.lease.fleet is not None:
+            lease = self.lease
+            text = json.dumps({"name": self.name, "boot": _boot_id(), "acting": lease.active_version,
+                               "revision": lease.revision,
+                               "digest": lease.active_digest, "fleet": lease.fleet.to_dict()}).encode()
+            self.saved_revision = self.lease.revision
             path = self.folder / f"{self.name}.state"
-            if not self._write(path, b"%08x %b" % (crc32(text), text)):
-                _quietly(path.unlink)   # what is older than our word must not be gone by after a restart
+            if not self._write_file(path, b"%08x %b" % (crc32(text), text)):
+                # After a restart, a state older than the latest report must not be used.
+                _ignore_os_errors(path.unlink)
 
-    # Asking
+    # Calls to keepers and peers
 
-    def _life_s(self) -> float:
-        fleet = self.licence.fleet
-        return fleet.bounds.licence_s if fleet is not None else 4 * FIRST
+    def _lease_term_s(self) -> float:
+        fleet = self.lease.fleet
+        return fleet.bounds.licence_s if fleet is not None else 4 * INITIAL_CALL_INTERVAL_S
 
-    async def _renew_on(self) -> None:
+    async def _renew_loop(self) -> None:
         while True:
             try:
                 if not await self._renew():
-                    await self._ask_peers()
-            except Exception as error:  # guards the one loop that keeps us in service
+                    await self._query_peers()
+            except Exception as error:  # guards the loop without which this process would stop serving
                 log.error("renewing failed", ingress=self.name, why=repr(error))
-            now, every = steady(), self._life_s() / 4
-            self._do(self.licence.look(now))
-            wait = min(every, max(0.02, self.licence.until - now)) * random.uniform(0.7, 1.0)
-            self.soon.clear()
+            now, interval_s = boottime_s(), self._lease_term_s() / 4
+            self._execute(self.lease.update(now))
+            delay_s = min(interval_s, max(0.02, self.lease.expires_at - now)) * random.uniform(0.7, 1.0)
+            self.renew_now.clear()
             try:
-                await asyncio.wait_for(self.soon.wait(), wait if self.licence.valid(now) else every / 2)
+                await asyncio.wait_for(self.renew_now.wait(), delay_s if self.lease.is_valid(now) else interval_s / 2)
             except TimeoutError:
                 pass
 
     async def _renew(self) -> bool:
-        """One keeper's answer, each keeper in turn, those that did not answer lately last."""
-        names, now = list(self.keepers), steady()
-        self.turn += 1
-        order = sorted(names, key=lambda n: (self.suspect.get(n, 0.0) > now,
-                                             (names.index(n) - self.turn) % len(names)))
+        """Renews the lease at one keeper, in rotation; keepers that did not answer recently come last."""
+        names, now = list(self.keeper_connections), boottime_s()
+        self.keeper_turn += 1
+        order = sorted(names, key=lambda name: (self.suspected_until.get(name, 0.0) > now,
+                                             (names.index(name) - self.keeper_turn) % len(names)))
         for name in order:
-            if await self._renew_by(name):
+            if await self._renew_at(name):
                 return True
         return False
 
-    def _word(self) -> dict:
-        fleet, licence = self.licence.fleet, self.licence
+    def _report(self) -> dict:
+        fleet, lease = self.lease.fleet, self.lease
         coming = fleet.coming.digest if fleet is not None and fleet.coming is not None else ""
-        return {"name": self.name, "life": self.life, "origin": self.origin, "number": self.member.number,
-                "zone": self.member.zone, "address": self.member.address, "others": self.others,
-                "acting": licence.acting, "prepared": coming if coming in licence.ready else "",
-                "fault": licence.fault, "phase": self.ingress.life.phase.value, "revision": licence.revision,
+        return {"name": self.name, "life": self.incarnation, "origin": self.origin, "number": self.member.number,
+                "zone": self.member.zone, "address": self.member.address, "others": self.sibling_count,
+                "acting": lease.active_version, "prepared": coming if coming in lease.ready_contents else "",
+                "fault": lease.fetch_error, "phase": self.ingress.life.phase.value, "revision": lease.revision,
                 "record": fleet.record if fleet is not None else ""}
 
-    def _relayed(self) -> list[dict]:
-        """What peers that hear no keeper said to us, each with the most time that may have passed since."""
-        now, life = steady(), self._life_s()
-        self.passing = {n: (at, word) for n, (at, word) in self.passing.items() if now - at < life}
-        return [{**word, "age": now - at + life / 6} for at, word in list(self.passing.values())[:MOST_PEERS]]
-
-    async def _renew_by(self, name: str) -> bool:
-        spans = [*self.before[:50], *self.book.due(name)]
-        asked = steady()
+    def _reports_to_relay(self) -> list[dict]:
+        """Returns the reports of peers that reach no keeper, each with an upper bound of its age."""
+        now, term_s = boottime_s(), self._lease_term_s()
+        self.relayed_reports = {
+            name: (received_at, report) for name, (received_at, report) in self.relayed_reports.items()
+            if now - received_at < term_s}
+        return [{**report, "age": now - received_at + term_s / 6}
+                for received_at, report in list(self.relayed_reports.values())[:MAX_PEER_CALLS]]
+
+    async def _renew_at(self, name: str) -> bool:
+        spans = [*self.previous_spans[:50], *self.audit_book.due(name)]
+        requested_at = boottime_s()
         try:
-            answer = await self.keepers[name].call("renew", max(0.1, self._life_s() / 6), **self._word(),
-                                                   spans=[s.value() for s in spans], relayed=self._relayed())
-            heard = steady()
-            fleet = state.read(answer["fleet"]) if "fleet" in answer else self.licence.fleet
-            left, revision, clock = float(answer["left"]), int(answer["revision"]), float(answer["clock"])
-        except (CallFailed, state.Refused, ValueError, KeyError, TypeError) as error:
-            self.suspect[name] = steady() + SUSPECT
-            self.trouble = f"keeper {name}: {error}"
+            answer = await self.keeper_connections[name].call(
+                "renew", max(0.1, self._lease_term_s() / 6), **self._report(),
+                spans=[span.value() for span in spans], relayed=self._reports_to_relay())
+            received_at = boottime_s()
+            fleet = state.parse(answer["fleet"]) if "fleet" in answer else self.lease.fleet
+            term_s, revision, keeper_time = float(answer["left"]), int(answer["revision"]), float(answer["clock"])
+        except (CallFailed, state.StepRefused, ValueError, KeyError, TypeError) as error:
+            self.suspected_until[name] = boottime_s() + SUSPECT_S
+            self.error = f"keeper {name}: {error}"
             return False
-        self.suspect.pop(name, None)
-        self.time.read(asked, clock, heard)
-        self.book.took(name, [s for s in spans if s.life == self.life])
-        if self.refused != answer["refused"]:
-            self.refused = answer["refused"]
-            if self.refused:
-                log.warning("no licence", ingress=self.name, keeper=name, why=self.refused)
-        self._do(self.licence.granted(name, fleet, revision, left, asked, heard))
-        if self.licence.revision != self.kept:  # before the next word says that we know it
-            self._keep_state()
-        if self.licence.until > heard:  # else it was for another record, or for a version that we don't have
-            self.last_renewed, self.trouble = heard, ""
-        behind = [n for n in answer.get("behind", []) if n != self.name]
-        for peer in random.sample(behind, min(TELL, len(behind))):
-            self.tasks.append(asyncio.ensure_future(self._tell(peer)))
-        return self.licence.until - heard > self._life_s() / 2
-
-    def _peer_lines(self) -> dict[str, Line]:
-        fleet = self.licence.fleet
+        self.suspected_until.pop(name, None)
+        self.fleet_time.read(requested_at, keeper_time, received_at)
+        self.audit_book.took(name, [span for span in spans if span.life == self.incarnation])
+        if self.refusal != answer["refused"]:
+            self.refusal = answer["refused"]
+            if self.refusal:
+                log.warning("no lease", ingress=self.name, keeper=name, why=self.refusal)
+        self._execute(self.lease.granted(name, fleet, revision, term_s, requested_at, received_at))
+        if self.lease.revision != self.saved_revision:  # before the next report claims to know this revision
+            self._save_state()
+        if self.lease.expires_at > received_at:  # else it was for another record or an unprepared version
+            self.last_renewed_at, self.error = received_at, ""
+        behind = [other for other in answer.get("behind", []) if other != self.name]
+        for peer in random.sample(behind, min(MAX_NOTIFIED_PEERS, len(behind))):
+            self.tasks.append(asyncio.ensure_future(self._notify_peer(peer)))
+        return self.lease.expires_at - received_at > self._lease_term_s() / 2
+
+    def _update_peer_connections(self) -> dict[str, Line]:
+        fleet = self.lease.fleet
         known = {name: address_of("=" + m.address)[1] for name, m in fleet.members.items()} if fleet else {}
-        for name, address in {**known, **self.given}.items():
-            line = self.peers.get(name)
-            if name != self.name and (line is None or line.address != address):
-                if line is not None:
-                    line.close()
-                self.peers[name] = Line(*address)
-        for name in set(self.peers) - set(known) - set(self.given):
-            self.peers.pop(name).close()
-        return self.peers
-
-    async def _ask_peers(self) -> None:
-        """All peers at once: what they go by, and what is left of their licences."""
-        lines = self._peer_lines()
-        names = random.sample(sorted(lines), len(lines))
-        for at in range(0, len(names), MOST_PEERS):
-            await asyncio.gather(*(self._ask_peer(name, lines[name]) for name in names[at:at + MOST_PEERS]))
-
-    async def _ask_peer(self, name: str, line: Line) -> None:
-        asked, fleet = steady(), self.licence.fleet
+        for name, address in {**known, **self.configured_peers}.items():
+            connection = self.peer_connections.get(name)
+            if name != self.name and (connection is None or connection.address != address):
+                if connection is not None:
+                    connection.close()
+                self.peer_connections[name] = Line(*address)
+        for name in set(self.peer_connections) - set(known) - set(self.configured_peers):
+            self.peer_connections.pop(name).close()
+        return self.peer_connections
+
+    async def _query_peers(self) -> None:
+        """Asks all peers for their state and the rest of their leases."""
+        connections = self._update_peer_connections()
+        names = random.sample(sorted(connections), len(connections))
+        for start in range(0, len(names), MAX_PEER_CALLS):
+            await asyncio.gather(*(self._query_peer(name, connections[name])
+                                   for name in names[start:start + MAX_PEER_CALLS]))
+
+    async def _query_peer(self, name: str, connection: Line) -> None:
+        requested_at, fleet = boottime_s(), self.lease.fleet
         try:
-            answer = await line.call("peer", max(0.1, self._life_s() / 6), **self._word())
-            newer = state.read(answer["fleet"]) if "fleet" in answer else None
-            word = PeerWord(str(answer["name"]), int(answer["acting"]), float(answer["left"]),
-                            answer["firm"] is True, int(answer["revision"]), newer)
-            if word.name != name:
-                raise ValueError(f"{word.name} answers in place of {name}")
-        except (CallFailed, state.Refused, ValueError, KeyError, TypeError):
+            answer = await connection.call("peer", max(0.1, self._lease_term_s() / 6), **self._report())
+            newer = state.parse(answer["fleet"]) if "fleet" in answer else None
+            report = PeerReport(str(answer["name"]), int(answer["acting"]), float(answer["left"]),
+                                answer["firm"] is True, int(answer["revision"]), newer)
+            if report.name != name:
+                raise ValueError(f"{report.name} answers in place of {name}")
+        except (CallFailed, state.StepRefused, ValueError, KeyError, TypeError):
             return
         if newer is None and (fleet is None or answer["record"] != fleet.record):
             return
-        self._do(self.licence.heard(word, asked, steady()))
+        self._execute(self.lease.peer_reported(report, requested_at, boottime_s()))
 
-    async def _tell(self, name: str) -> None:
-        """One that keepers say is behind, by way of us."""
-        line, fleet = self._peer_lines().get(name), self.licence.fleet
-        if line is None or fleet is None:
+    async def _notify_peer(self, name: str) -> None:
+        """Passes the state on to a peer that is behind according to a keeper."""
+        connection, fleet = self._update_peer_connections().get(name), self.lease.fleet
+        if connection is None or fleet is None:
             return
         try:
-            await line.call("tell", 1.0, revision=self.licence.revision, fleet=fleet.value(), name=self.name)
+            await connection.call("tell", 1.0, revision=self.lease.revision, fleet=fleet.to_dict(), name=self.name)
         except CallFailed:
             pass
 
-    async def _fetch(self, digest: str) -> None:
-        """A content, or why there is none: then it is asked for again after a while."""
+    async def _fetch_or_report(self, digest: str) -> None:
+        """Fetches and prepares a content; on failure, reports why after a delay, which leads to a retry."""
         try:
-            fault = await self._get(digest)
-        except Exception as error:  # guards the version that is coming: a fetch that is lost would end it here
-            fault = repr(error)
-        if fault:
-            await asyncio.sleep(REFETCH)
-            self._do(self.licence.failed(digest, fault, steady()))
-
-    async def _get(self, digest: str) -> str:
-        """From any keeper, else from any peer; checked whole.  Empty once it is at hand."""
-        data = self._on_disk(digest)
-        lines = [*self.keepers.values(), *random.sample(list(self._peer_lines().values()), len(self.peers))]
-        fault = "nobody who was asked has it"
-        for line in lines if data is None else ():
+            failure = await self._fetch_content(digest)
+        except Exception as error:  # guards the coming version: without a result, no retry would follow
+            failure = repr(error)
+        if failure:
+            await asyncio.sleep(REFETCH_DELAY_S)
+            self._execute(self.lease.fetch_failed(digest, failure, boottime_s()))
+
+    async def _fetch_content(self, digest: str) -> str:
+        """Fetches a content from the disk, any keeper or any peer, and prepares it.
+
+        Returns the reason of a failure, or an empty string on success.
+        """
+        data = self._content_on_disk(digest)
+        connections = [*self.keeper_connections.values(),
+                       *random.sample(list(self._update_peer_connections().values()), len(self.peer_connections))]
+        failure = "no keeper or peer that was asked has it"
+        for connection in connections if data is None else ():
             try:
-                answer = await line.call("content", max(0.5, self._life_s() / 3), digest=digest)
+                answer = await connection.call("content", max(0.5, self._lease_term_s() / 3), digest=digest)
                 data = base64.b64decode(answer["data"])
                 break
             except (CallFailed, ValueError, KeyError, TypeError) as error:
-                fault = str(error)
+                failure = str(error)
         if data is None:
-            return fault
+            return failure
         table = None
         try:
             content = version_contents.unpack(data, digest)
             if content.routes:
-                table = await self._read_routes(content)
+                table = await self._parse_routes(content)
         except FaultyFile as error:
             return str(error.faults[0])
-        return self._take_data(digest, data, table)
+        return self._prepare(digest, data, table)
 
-    async def _read_routes(self, content: version_contents.Content) -> RouteTable:
-        """The description, read by a process of its own; raises FaultyFile."""
+    async def _parse_routes(self, content: version_contents.Content) -> RouteTable:
+        """Parses the OpenAPI description in a process of its own; raises FaultyFile."""
         routes = self.ingress.parts.get("routes")
         if routes is None:
             raise FaultyFile([
-                Fault(version_contents.ROUTES, 0, "", "routes are off here: the operator file has none")])
+                Fault(version_contents.ROUTES, 0, "", "routes are disabled: the operator file has no section")])
         from fennelpoint.routes import worker
         from fennelpoint.routes.table import RouteTable
 
@@ -381,169 +409,182 @@
                 *worker.command(str(path), section.load_memory_mb, section.load_timeout_s), stdin=pipe,
                 stdout=pipe, stderr=pipe, start_new_session=True)
             output, errors = await process.communicate(pickle.dumps(self.ingress.config.settings))
-            end = worker.outcome(version_contents.ROUTES, process.returncode, output, errors)
+            result = worker.outcome(version_contents.ROUTES, process.returncode, output, errors)
         except OSError as error:
             raise FaultyFile([
-                Fault(version_contents.ROUTES, 0, "", f"it can't be read here: {error.strerror}")]) from None
+                Fault(version_contents.ROUTES, 0, "", f"it cannot be read here: {error.strerror}")]) from None
         finally:
             path.unlink(missing_ok=True)
-        if end.faults:
-            raise FaultyFile(list(end.faults))
+        if result.faults:
+            raise FaultyFile(list(result.faults))
         table = RouteTable()
-        for chunk in end.chunks:
+        for chunk in result.chunks:
             table.add(pickle.loads(chunk))
             await asyncio.sleep(0)
         return table
 
-    def _take_data(self, digest: str, data: bytes | None, table: RouteTable | None = None) -> str:
-        """A content that may be gone over to; what is wrong with it, and nothing changes."""
+    def _prepare(self, digest: str, data: bytes | None, table: RouteTable | None = None) -> str:
+        """Validates a content and prepares its activation; returns what is wrong with it, or an empty string."""
         if data is None:
             return "it is not on disk"
         try:
             content = version_contents.unpack(data, digest)
             if content.cells is not None and self.cells is None:
                 raise FaultyFile([
-                    Fault(version_contents.CELLS, 0, "", "cells are off here: the operator file has none")])
+                    Fault(version_contents.CELLS, 0, "", "cells are disabled: the operator file has no section")])
             if content.routes and table is None:
-                return ""   # from disk: read by the usual way once it is wanted
-            plans = version_contents.figures(self.own_plans, content)
+                return ""   # from disk at the start: parsed as usual once the version is needed
+            plans = version_contents.apply_limits(self.configured_plans, content)
         except FaultyFile as error:
             return str(error.faults[0])
-        self.ready[digest] = Ready(content, data, plans, table)
+        self.prepared[digest] = PreparedContent(content, data, plans, table)
         if self.folder is not None:
-            self._write(self.folder / "contents" / digest, data)
-        self._do(self.licence.prepared(digest, steady()))
-        self.soon.set()
+            self._write_file(self.folder / "contents" / digest, data)
+        self._execute(self.lease.content_ready(digest, boottime_s()))
+        self.renew_now.set()
         return ""
 
-    # Carrying out
+    # Execution of actions
 
-    def _do(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
+        """Executes actions of the lease, in order."""
         for action in actions:
             match action:
-                case Fetch():
+                case FetchContent():
                     self.tasks = [task for task in self.tasks if not task.done()]
-                    self.tasks.append(asyncio.ensure_future(self._fetch(action.digest)))
-                case Act():
-                    self._act(action)
-                case Shut():
+                    self.tasks.append(asyncio.ensure_future(self._fetch_or_report(action.digest)))
+                case ActivateVersion():
+                    self._activate(action)
+                case StopServing():
                     self.ingress.life.handle(Event.BAR, time.monotonic())
                     self.ingress.host.post(api.Barred(True))
-                    self._turn(audit.OUT, action.why)
-                    log.error("shut out", ingress=self.name, why=action.why)
+                    self._begin_span(audit.OUT, action.reason)
+                    log.error("shut out", ingress=self.name, why=action.reason)
                     self.ingress.look()
-                case Admit():
+                case StartServing():
                     self.ingress.life.handle(Event.ADMIT, time.monotonic())
                     self.ingress.host.post(api.Barred(False))
-                    self._turn(self.licence.acting, f"licensed by {action.why}")
-                    log.info("admitted", ingress=self.name, version=self.licence.acting, by=action.why)
-                case Told():
-                    (log.error if action.loud else log.info)("fleet", ingress=self.name, why=action.text)
-
-    def _act(self, act: Act) -> None:
-        """Go over to a version, whole, between two requests."""
-        new, before = self.ready[act.digest], self.acting
-        if self.cells is not None and new is not before:
+                    self._begin_span(self.lease.active_version, f"lease from {action.reason}")
+                    log.info("admitted", ingress=self.name, version=self.lease.active_version, by=action.reason)
+                case LogLine():
+                    (log.error if action.is_error else log.info)("fleet", ingress=self.name, why=action.text)
+
+    def _activate(self, action: ActivateVersion) -> None:
+        """Activates a version, all of it between two requests."""
+        new, previous = self.prepared[action.digest], self.active
+        if self.cells is not None and new is not previous:
             plan = new.content.cells
-            self.cells.ruled = act.number if plan is not None else 0
-            self.cells.take(replace(plan, version=act.number) if plan is not None else self.ingress.config.cells)
+            self.cells.ruled = action.number if plan is not None else 0
+            self.cells.take(replace(plan, version=action.number) if plan is not None else self.ingress.config.cells)
         routes = self.ingress.parts.get("routes")
-        if routes is not None and new is not before:
-            self.ingress.server.reader.take(new.table if new.table is not None else self.own_table)
+        if routes is not None and new is not previous:
+            self.ingress.server.reader.take(new.table if new.table is not None else self.configured_table)
             routes.ruled = new.table is not None
-        # While the version before may still be acted on, the smaller of both figures holds.
-        old = self.ready.get(self.licence.fleet.version.digest) if act.mixed else new
-        self._go_by(version_contents.least(old.plans, new.plans) if old is not None else new.plans, act.mixed)
-        self.acting = new
-        for digest in [d for d in self.ready if d and d not in self.licence.ready]:
-            del self.ready[digest]
-        if self.licence.open and (self.book.open is None or self.book.open.version != act.number):
-            self._turn(act.number, act.why)
-        self._keep_state()
-        log.info("acts", ingress=self.name, version=act.number, why=act.why)
-        self.soon.set()
-
-    def _go_by(self, plans: list[api.Plan], mixed: bool) -> None:
-        """These figures; the counter's word counts once nobody can go by others."""
+        # While the previous version may still be acted on, the smaller of both limits applies.
+        old = self.prepared.get(self.lease.fleet.version.digest) if action.is_mixed else new
+        self._apply_plans(version_contents.minimum_limits(old.plans, new.plans) if old is not None else new.plans,
+                          action.is_mixed)
+        self.active = new
+        for digest in [d for d in self.prepared if d and d not in self.lease.ready_contents]:
+            del self.prepared[digest]
+        if self.lease.is_serving and (self.audit_book.open is None or self.audit_book.open.version != action.number):
+            self._begin_span(action.number, action.reason)
+        self._save_state()
+        log.info("acts", ingress=self.name, version=action.number, why=action.reason)
+        self.renew_now.set()
+
+    def _apply_plans(self, plans: list[api.Plan], is_mixed: bool) -> None:
+        """Applies limits of plans.
+
+        Totals of the external counter are ignored while other processes may apply other limits.
+        """
         if plans != self.plans:
-            stamp = 0 if plans == self.own_plans else 1 + crc32(repr(plans).encode()) % 1000
-            self.plans, self.stamp, self.mixed = plans, stamp, True
-            if not mixed:   # in force: those that have not heard of it go by the others for a licence's life
-                self.calm_at = steady() + 1.05 * self._life_s()
-        elif self.mixed and not mixed and not self.calm_at:
-            self.mixed = False
+            stamp = 0 if plans == self.configured_plans else 1 + crc32(repr(plans).encode()) % 1000
+            self.plans, self.stamp, self.is_mixed = plans, stamp, True
+            if not is_mixed:   # in force: processes that do not know it yet apply the others for one lease term
+                self.unmixed_at = boottime_s() + 1.05 * self._lease_term_s()
+        elif self.is_mixed and not is_mixed and not self.unmixed_at:
+            self.is_mixed = False
         else:
             return
-        self.ingress.host.post(api.Figures(self.plans, self.stamp, self.mixed))
+        self.ingress.host.post(api.Figures(self.plans, self.stamp, self.is_mixed))
 
     def sweep(self) -> None:
-        if self.calm_at and steady() >= self.calm_at:
-            self.calm_at, self.mixed = 0.0, False
+        """Ends a mixed period that is over and checks the lease, several times a second."""
+        if self.unmixed_at and boottime_s() >= self.unmixed_at:
+            self.unmixed_at, self.is_mixed = 0.0, False
             self.ingress.host.post(api.Figures(self.plans, self.stamp, False))
-        if self.licence.open:
+        if self.lease.is_serving:
             self.may_send()
 
     # The audit
 
-    def _turn(self, version: int, why: str) -> None:
-        self.book.alone = self.others == 0
-        self.book.turn(version, why, self.time.at(steady()))
-        self._note()
+    def _begin_span(self, version: int, reason: str) -> None:
+        self.audit_book.alone = self.sibling_count == 0
+        self.audit_book.turn(version, reason, self.fleet_time.at(boottime_s()))
+        self._save_spans()
 
-    def _note(self) -> None:
-        if self.ring is not None:
-            for span in list(self.book.spans.values())[-2:]:
-                self.ring.add(json.dumps(span.value()).encode())
+    def _save_spans(self) -> None:
+        if self.audit_ring is not None:
+            for span in list(self.audit_book.spans.values())[-2:]:
+                self.audit_ring.add(json.dumps(span.value()).encode())
 
-    async def _mark_on(self) -> None:
+    async def _mark_loop(self) -> None:
         while True:
-            await asyncio.sleep(MARK)
-            if (span := self.book.mark(self.time.at(steady()))) is not None and self.ring is not None:
-                self.ring.add(json.dumps(span.value()).encode())
+            await asyncio.sleep(AUDIT_MARK_INTERVAL_S)
+            if (span := self.audit_book.mark(self.fleet_time.at(boottime_s()))) is not None and (
+                    self.audit_ring is not None):
+                self.audit_ring.add(json.dumps(span.value()).encode())
 
-    # Calls of peers and of people
+    # Calls of peers and operators
 
     async def handle(self, call: dict) -> dict:
-        if (answer := self.peer_calls.get(call["do"])) is None:
-            raise ValueError(f"there is no call {call['do'][:40]!r}")
+        """Answers one call; raises ValueError if the call is unknown."""
+        if (answer := self.calls.get(call["do"])) is None:
+            raise ValueError(f"unknown call {call['do'][:40]!r}")
         return answer(call)
 
-    def _say(self, call: dict) -> dict:
-        licence, fleet, now = self.licence, self.licence.fleet, steady()
+    def _on_peer(self, call: dict) -> dict:
+        """Answers a peer that reaches no keeper with the state here, and keeps its report for the keepers."""
+        lease, fleet, now = self.lease, self.lease.fleet, boottime_s()
         if fleet is not None and call["name"] in fleet.members:
-            before = self.passing.get(call["name"])
-            self.passing[call["name"]] = now, {k: v for k, v in call.items() if k not in ("do", "id")}
-            if before is None or any(before[1][k] != call[k] for k in ("acting", "prepared")):
-                self.soon.set()     # keepers wait for just that
-        answer = {"name": self.name, "acting": licence.acting, "left": licence.until - now,
-                  "firm": licence.firm, "revision": licence.revision, "record": fleet.record if fleet else ""}
-        if fleet is not None and (call["record"] != fleet.record or call["revision"] < licence.revision):
-            answer["fleet"] = fleet.value()
+            previous = self.relayed_reports.get(call["name"])
+            self.relayed_reports[call["name"]] = now, {
+                field: value for field, value in call.items() if field not in ("do", "id")}
+            if previous is None or any(previous[1][field] != call[field] for field in ("acting", "prepared")):
+                self.renew_now.set()     # a rollout may wait for this report
+        answer = {"name": self.name, "acting": lease.active_version, "left": lease.expires_at - now,
+                  "firm": lease.is_history_known, "revision": lease.revision, "record": fleet.record if fleet else ""}
+        if fleet is not None and (call["record"] != fleet.record or call["revision"] < lease.revision):
+            answer["fleet"] = fleet.to_dict()
         return answer
 
-    def _content(self, call: dict) -> dict:
-        ready = self.ready.get(str(call["digest"]))
-        if ready is None or not ready.data:
+    def _on_content(self, call: dict) -> dict:
+        """Returns a prepared content."""
+        prepared = self.prepared.get(str(call["digest"]))
+        if prepared is None or not prepared.data:
             raise ValueError(f"{self.name} does not have that content")
-        return {"data": base64.b64encode(ready.data).decode()}
+        return {"data": base64.b64encode(prepared.data).decode()}
 
-    def _told(self, call: dict) -> dict:
-        """A peer tells us what is agreed: we ask for a licence at once."""
-        word = PeerWord(str(call["name"]), -1, 0.0, False, int(call["revision"]), state.read(call["fleet"]))
-        self._do(self.licence.heard(word, steady(), steady()))
-        self.soon.set()
+    def _on_tell(self, call: dict) -> dict:
+        """Adopts a peer's state and renews the lease at once."""
+        report = PeerReport(str(call["name"]), -1, 0.0, False, int(call["revision"]), state.parse(call["fleet"]))
+        self._execute(self.lease.peer_reported(report, boottime_s(), boottime_s()))
+        self.renew_now.set()
         return {}
 
-    def _status(self, call: dict) -> dict:
-        licence, now = self.licence, steady()
-        return {**self._word(), "open": licence.open, "left": licence.until - now,
-                "static_left": licence.static_until - now, "source": licence.source, "trouble": self.trouble,
-                "refused": self.refused, "foreign": licence.foreign, "reason": licence.reason(now),
-                "renewed": now - self.last_renewed if self.last_renewed else -1.0, "mixed": licence.mixed,
-                "roster": len(self.ingress.discovery.known), "figures_mixed": self.mixed}
+    def _on_status(self, call: dict) -> dict:
+        """Returns the state of this process, for operators."""
+        lease, now = self.lease, boottime_s()
+        return {**self._report(), "open": lease.is_serving, "left": lease.expires_at - now,
+                "static_left": lease.static_expires_at - now, "source": lease.source, "trouble": self.error,
+                "refused": self.refusal, "foreign": lease.foreign_record, "reason": lease.reason_without_lease(now),
+                "renewed": now - self.last_renewed_at if self.last_renewed_at else -1.0, "mixed": lease.is_mixed,
+                "roster": len(self.ingress.discovery.known), "figures_mixed": self.is_mixed}
 
-    def _spans(self, call: dict) -> dict:
-        return {"spans": [s.value() for s in (*self.before, *self.book.spans.values())]}
+    def _on_spans(self, call: dict) -> dict:
+        """Returns the spans of the audit that this process has."""
+        return {"spans": [span.value() for span in (*self.previous_spans, *self.audit_book.spans.values())]}
 
 
 def _boot_id() -> str:
@@ -553,8 +594,9 @@
         return "unknown"
 
 
-def _quietly(act: Callable[[], object]) -> None:
+def _ignore_os_errors(function: Callable[[], object]) -> None:
+    """Runs a function and ignores its OSError."""
     try:
-        act()
+        function()
     except OSError:
         pass
--- a/fennelpoint/fleet/queries.py
+++ b/fennelpoint/fleet/queries.py
@@ -64,7 +64,7 @@
                 old = words.get((word["name"], word["life"]))
                 if old is None or word["age"] < old["age"]:
                     words[word["name"], word["life"]] = word
-        return View(state.read(best["fleet"]) if best is not None else None,
+        return View(state.parse(best["fleet"]) if best is not None else None,
                     best["revision"] if best is not None else 0, tuple(words.values()), keepers,
                     best["held"] if best is not None else "")
 
@@ -143,7 +143,7 @@
 def status_value(view: View) -> dict:
     """The same for programs."""
     fleet = view.fleet
-    return {"revision": view.revision, "fleet": fleet.value() if fleet else None, "held": view.held,
+    return {"revision": view.revision, "fleet": fleet.to_dict() if fleet else None, "held": view.held,
             "keepers": view.keepers, "ingresses": [
                 {**word, "stand": rank(word, fleet)} for word in view.words] if fleet else []}
 
--- a/fennelpoint/testing/fault_injection.py
+++ b/fennelpoint/testing/fault_injection.py
@@ -11,45 +11,46 @@
 
 def gate() -> None:
     """Nothing is asked before a send."""
-    from fennelpoint.fleet.component import FleetPart
+    from fennelpoint.fleet.component import FleetComponent
 
-    FleetPart.may_send = lambda self: True
+    FleetComponent.may_send = lambda self: True
 
 
 def licence() -> None:
     """A licence never ends."""
-    from fennelpoint.fleet.version_lease import Licence
+    from fennelpoint.fleet.version_lease import VersionLease
 
-    Licence.valid = lambda self, now: True
+    VersionLease.is_valid = lambda self, now: True
 
 
 def eager() -> None:
     """A version is in force as soon as one has gone over to it."""
     from fennelpoint.fleet import rollout
 
-    rollout.overreach, rollout.DRIFT = lambda fleet, out: "" if len(out) < len(fleet.members) else "all", -0.5
+    rollout.outage_violation, rollout.MAX_CLOCK_DRIFT = (
+        lambda fleet, out: "" if len(out) < len(fleet.members) else "all", -0.5)
 
 
 def backward() -> None:
     """Whatever a keeper says is gone by, older or not."""
-    from fennelpoint.fleet.version_lease import Act, Licence
+    from fennelpoint.fleet.version_lease import ActivateVersion, VersionLease
 
     def act(self, number, digest, mixed):
-        if (number, mixed) == (self.acting, self.mixed):
+        if (number, mixed) == (self.active_version, self.is_mixed):
             return []
-        self.acting, self.digest, self.mixed = number, digest, mixed
-        return [Act(number, digest, mixed, "broken")]
+        self.active_version, self.active_digest, self.is_mixed = number, digest, mixed
+        return [ActivateVersion(number, digest, mixed, "broken")]
 
-    Licence._act = act
-    Licence._learn = lambda self, fleet, revision, whom: (
+    VersionLease._activate = act
+    VersionLease._adopt_state = lambda self, fleet, revision, whom: (
         setattr(self, "fleet", fleet) or setattr(self, "revision", revision) or [])
 
 
 def figures() -> None:
     """Other figures of plans are not gone by."""
-    from fennelpoint.fleet.component import FleetPart
+    from fennelpoint.fleet.component import FleetComponent
 
-    FleetPart._go_by = lambda self, plans, mixed: None
+    FleetComponent._apply_plans = lambda self, plans, mixed: None
 
 
 def stale() -> None:
--- a/fennelpoint/testing/fleet_simulation.py
+++ b/fennelpoint/testing/fleet_simulation.py
@@ -13,8 +13,15 @@
 from random import Random
 
 from fennelpoint.fleet import state
-from fennelpoint.fleet.rollout import Conductor, Word
-from fennelpoint.fleet.version_lease import Act, Admit, Fetch, Licence, PeerWord, Shut
+from fennelpoint.fleet.rollout import ProcessReport, RolloutController
+from fennelpoint.fleet.version_lease import (
+    ActivateVersion,
+    FetchContent,
+    PeerReport,
+    StartServing,
+    StopServing,
+    VersionLease,
+)
 
 RATE = 0.008        # how far a clock's rate may be off, each way
 LOOK, GOSSIP = 0.1, 0.5     # s between a keeper's reads; between two words of the others
@@ -58,14 +65,14 @@
 
 @dataclass(slots=True)
 class KeeperNode(Machine):
-    conductor: Conductor = field(default_factory=Conductor)
+    conductor: RolloutController = field(default_factory=RolloutController)
     base: tuple[float, int, state.Fleet] | None = None      # our clock when the read began, revision, state
     joining: dict[str, state.Member] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class IngressNode(Machine):
-    licence: Licence | None = None
+    licence: VersionLease | None = None
     life: str = ""
     member: state.Member | None = None
     disk: tuple | None = None
@@ -80,7 +87,7 @@
         self.settings, self.draw, self.now, self.number = settings, Random(seed), 0.0, 0
         self.queue: list[tuple] = []
         bounds = state.Bounds(settings.licence_s, settings.settle_s, ring=settings.ingresses, **settings.bounds)
-        self.revision, self.fleet = 1, state.found("world", bounds)
+        self.revision, self.fleet = 1, state.initial_state("world", bounds)
         self.cuts: set[frozenset[str]] = set()      # pairs that hear nothing of each other
         self.mute: set[str] = set()                 # they hear, and aren't heard
         self.keepers = {f"k{i}": KeeperNode(f"k{i}", *self._clock()) for i in range(settings.keepers)}
@@ -170,11 +177,11 @@
         if keeper.joining:
             joining, keeper.joining = keeper.joining, {}
             self._change(keeper, lambda fleet: state.join(fleet, joining))
-        step = keeper.conductor.look(keeper.base[2], keeper.base[1], keeper.clock(self.now))
+        step = keeper.conductor.next_step(keeper.base[2], keeper.base[1], keeper.clock(self.now))
         if step is not None:
-            take = {"close": lambda f: state.close(f, step.number), "level": state.level,
+            take = {"close": lambda f: state.close(f, step.number), "level": state.confirm_members,
                     "enforce": lambda f: state.enforce(f, step.number),
-                    "halt": lambda f: state.halt(f, step.number, step.why)}[step.what]
+                    "halt": lambda f: state.halt(f, step.number, step.reason)}[step.kind]
             # It takes a while until it is made; meanwhile anything may happen.
             self.later(self.draw.expovariate(1.0 / (4 * self.settings.delay_s)), self._change, keeper, take,
                        keeper.base[1])
@@ -185,7 +192,7 @@
         before = self.fleet
         try:
             fleet = step(before)
-        except state.Refused:
+        except state.StepRefused:
             return
         if fleet == before:
             return
@@ -197,7 +204,7 @@
                 self.forced.append((self.now, fleet.version.number))
             else:
                 self.counts["halted"] += 1
-        elif fleet.coming is not None and fleet.coming.state == state.CLOSING and not before.mixed:
+        elif fleet.coming is not None and fleet.coming.state == state.CLOSING and not before.is_mixed:
             self.numbers.append(fleet.coming.number)
 
     def _gossip(self, keeper: KeeperNode) -> None:
@@ -207,14 +214,15 @@
         now, licence_s = keeper.clock(self.now), self.fleet.bounds.licence_s
         for other in self.keepers.values():
             if other is not keeper and not other.down and not other.frozen:
-                words = [(w, now - w.at) for lives in keeper.conductor.words.values() for w in lives.values()]
+                words = [(w, now - w.sent_at) for lives in keeper.conductor.reports.values() for w in lives.values()]
                 self.message(keeper, other, self._told, other, words, licence_s)
 
     def _told(self, keeper: KeeperNode, words: list, licence_s: float) -> None:
         now = keeper.clock(self.now)
         for word, age in words:
-            keeper.conductor.heard(Word(word.name, word.life, word.origin, word.member, word.acting, word.prepared,
-                                        word.fault, now - age, word.revision, word.others), licence_s)
+            keeper.conductor.reported(ProcessReport(
+                word.name, word.incarnation, word.origin, word.member, word.active_version, word.prepared_digest,
+                word.error, now - age, word.revision, word.sibling_count), licence_s)
 
     def _publish(self) -> None:
         if self.fleet.coming is None:
@@ -231,17 +239,17 @@
     # Ingresses
 
     def _begin(self, node: IngressNode) -> None:
-        node.life, node.licence, node.out = f"{self.draw.random()}", Licence(node.name), 0
+        node.life, node.licence, node.out = f"{self.draw.random()}", VersionLease(node.name), 0
         if node.disk is not None:
             fleet, revision, acting, ready = node.disk
-            node.licence.restored(fleet, revision, acting)
+            node.licence.restore(fleet, revision, acting)
             for digest in ready:
-                self._do(node, node.licence.prepared(digest, node.clock(self.now)))
+                self._do(node, node.licence.content_ready(digest, node.clock(self.now)))
 
     def _keep(self, node: IngressNode) -> None:
         licence = node.licence
         if self.settings.disks and licence.fleet is not None:
-            node.disk = licence.fleet, licence.revision, licence.acting, list(licence.ready)
+            node.disk = licence.fleet, licence.revision, licence.active_version, list(licence.ready_contents)
 
     def _renew(self, node: IngressNode, life: str) -> None:
         if node.life != life:
@@ -252,13 +260,13 @@
         if node.down or node.frozen:
             return
         now = node.clock(self.now)
-        self._do(node, licence.look(now))
+        self._do(node, licence.update(now))
         keeper = self.keepers[self.draw.choice(sorted(self.keepers))]
         coming = licence.fleet.coming.digest if licence.fleet and licence.fleet.coming else ""
-        word = (node.life, licence.acting, coming if coming in licence.ready else "", licence.fault,
-                licence.revision)
+        word = (node.life, licence.active_version, coming if coming in licence.ready_contents else "",
+                licence.fetch_error, licence.revision)
         self.message(node, keeper, self._asked, keeper, node, node.life, word, now)
-        if now > licence.until - self.settings.licence_s / 2:
+        if now > licence.expires_at - self.settings.licence_s / 2:
             for peer in self.ingresses.values():
                 if peer is not node:
                     self.message(node, peer, self._peer_asked, peer, node, node.life, now)
@@ -269,8 +277,8 @@
         if keeper.base is None:
             return
         at, revision, fleet = keeper.base
-        word = Word(node.name, said[0], node.name, node.member, said[1], said[2], said[3], now, said[4])
-        refused = keeper.conductor.heard(word, fleet.bounds.licence_s)
+        word = ProcessReport(node.name, said[0], node.name, node.member, said[1], said[2], said[3], now, said[4])
+        refused = keeper.conductor.reported(word, fleet.bounds.licence_s)
         left = at + fleet.bounds.licence_s - now
         if fleet.members.get(node.name) != node.member:
             keeper.joining[node.name] = node.member
@@ -289,27 +297,27 @@
 
     def _peer_asked(self, peer: IngressNode, node: IngressNode, life: str, asked: float) -> None:
         licence, now = peer.licence, peer.clock(self.now)
-        word = PeerWord(peer.name, licence.acting, licence.until - now, licence.firm, licence.revision,
-                        licence.fleet)
+        word = PeerReport(peer.name, licence.active_version, licence.expires_at - now, licence.is_history_known,
+                          licence.revision, licence.fleet)
         self.message(peer, node, self._peer_said, node, life, word, asked)
 
-    def _peer_said(self, node: IngressNode, life: str, word: PeerWord, asked: float) -> None:
+    def _peer_said(self, node: IngressNode, life: str, word: PeerReport, asked: float) -> None:
         now = node.clock(self.now)
         if node.life == life and now - asked < self.settings.licence_s:
-            self._do(node, node.licence.heard(word, asked, now))
+            self._do(node, node.licence.peer_reported(word, asked, now))
             self._keep(node)
 
     def _do(self, node: IngressNode, actions: list) -> None:
         for action in actions:
-            if isinstance(action, Fetch):
+            if isinstance(action, FetchContent):
                 self.later(self.draw.expovariate(1.0 / 0.05), self._fetched, node, node.life, action.digest)
-            elif isinstance(action, Act):
+            elif isinstance(action, ActivateVersion):
                 self.acted.setdefault(action.number, {}).setdefault(node.name, self.now)
-            elif isinstance(action, Shut):
+            elif isinstance(action, StopServing):
                 self.counts["shut"] += 1
                 self.shut.add(node.name)
                 self.counts["most out"] = max(self.counts["most out"], len(self.shut))
-            elif isinstance(action, Admit):
+            elif isinstance(action, StartServing):
                 self.shut.discard(node.name)
 
     def _fetched(self, node: IngressNode, life: str, digest: str) -> None:
@@ -319,8 +327,8 @@
             node.queue.append((self._fetched, (node, life, digest)))
             return
         now = node.clock(self.now)
-        self._do(node, node.licence.failed(digest, "it has a fault", now) if digest in node.faulty
-                 else node.licence.prepared(digest, now))
+        self._do(node, node.licence.fetch_failed(digest, "it has a fault", now) if digest in node.faulty
+                 else node.licence.content_ready(digest, now))
         self._keep(node)
 
     def _send(self, node: IngressNode) -> None:
@@ -335,11 +343,11 @@
         if node.life != life:
             return
         licence, name = node.licence, node.name
-        if licence.acting < 0 or not licence.valid(node.clock(self.now)):
+        if licence.active_version < 0 or not licence.is_valid(node.clock(self.now)):
             self.counts["refused"] += 1
             return
         self.counts["sends"] += 1
-        version = licence.acting
+        version = licence.active_version
         force = self.forced[-1][1] if self.forced else 0
         if version < force:
             self.broken.append(f"{name} sent by {version} at {self.now:.3f}, {force} in force "
@@ -411,7 +419,7 @@
     def _back(self, node: Machine, cold: bool) -> None:
         node.down, node.queue = False, []
         if isinstance(node, KeeperNode):
-            node.conductor, node.base, node.joining = Conductor(), None, {}
+            node.conductor, node.base, node.joining = RolloutController(), None, {}
         else:
             self.shut.discard(node.name)
             if cold:
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -134,7 +134,7 @@
             code, out, _ = await larchwing("status", *config, "--json")
             assert code == 0 and {i["stand"] for i in json.loads(out)["ingresses"]} == {"ok"}
             code, _, err = await larchwing("publish", *config, "--cells", cells, "--why", "the same")
-            assert code == 1 and "version 1 holds the same" in err
+            assert code == 1 and "version 1 has the same content" in err
             cells.write_text("version = 0\n")
             code, _, err = await larchwing("publish", *config, "--cells", cells, "--why", "bad")
             assert code == 2 and "cells.toml" in err and "Traceback" not in err
@@ -144,7 +144,7 @@
             code, out, _ = await larchwing("status", *config)
             assert code == 4 and out.index("n2 ") < out.index("n0 ")
             code, out, _ = await larchwing("explain", "n2", *config)
-            assert code == 5 and "it sends nothing: no licence for" in out and "shut out" in out
+            assert code == 5 and "it sends nothing: no lease for" in out and "shut out" in out
             # A version that waits for it is halted by hand; nobody has acted on it.
             cells.write_text(content_of(2)["cells.toml"])
             assert (await larchwing("publish", *config, "--cells", cells, "--why", "two"))[0] == 0
@@ -153,9 +153,9 @@
             code, out, err = await larchwing("halt", 2, *config, "--why", "no", "--who", "me")
             assert (code, out) == (0, "halt: done\n"), err
             code, _, err = await larchwing("halt", 2, *config, "--why", "again")
-            assert code == 1 and "version 2 is not offered: none is coming" in err
+            assert code == 1 and "version 2 is not offered: no version is coming" in err
             code, _, err = await larchwing("forget", "n0", *config, "--why", "no")
-            assert code == 1 and "n0 still calls" in err
+            assert code == 1 and "n0 still sends reports" in err
             rig.heal()
             await rig.until_ready("n2")
             code, out, _ = await larchwing("audit", *config, "--version", 1)
@@ -244,13 +244,13 @@
             assert (await rig.view()).fleet.last == 1
             newest, old = [await call_once(rig.keepers["k1"], do, 2.0) for do in ("read", "glance")]
             assert newest["fleet"]["last"] == 1 and old["old"] and old["revision"] <= newest["revision"]
-            with pytest.raises(Refusal, match="is offered|holds the same"):
+            with pytest.raises(Refusal, match="is offered|has the same content"):
                 await rig.fleet.change("publish", files=content_of(1), who="me", why="again")
 
     run(test(), 60.0)
 
 
 def test_a_record_that_grows_too_large_is_refused():
-    members = {f"n{i}": state.Member(i, "z", "a:1") for i in range(state.MOST_MEMBERS + 1)}
-    with pytest.raises(state.Refused, match="1001 members are more than 1000"):
-        state.join(state.found("r", state.Bounds()), members)
+    members = {f"n{i}": state.Member(i, "z", "a:1") for i in range(state.MAX_MEMBERS + 1)}
+    with pytest.raises(state.StepRefused, match="1001 members exceed the limit of 1000"):
+        state.join(state.initial_state("r", state.Bounds()), members)
--- a/tests/fleet/test_coordinators_lost.py
+++ b/tests/fleet/test_coordinators_lost.py
@@ -47,7 +47,7 @@
             await asyncio.sleep(2.0 * L)
             assert [await rig.ready(name) for name in rig.members] == [True] * 6
             log = rig.members["n0"].process.log.read_text()
-            assert "holds record second with version 0, and we go by rig with 2" in log
+            assert "holds record second with version 0, lower than record rig with version 2 here" in log
             await rig.kill(*rig.keepers)
             for name in rig.keepers:
                 rig.keeper_file(name).unlink()
