--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Keepers' files that are torn, foreign or lost; garbage at their port; the command line; upgrades."""
+"""Damaged, foreign or lost files of keepers, invalid input at their port, the command line, upgrades."""
 
 import asyncio
 import json
@@ -19,21 +19,21 @@
 from fennelpoint.testing.process_cluster import Rig, Shape, content_of
 
 
-def filled(folder: Path) -> Store:
+def store_with_state(folder: Path) -> Store:
     store = Store(folder, "k0")
     store.replace_state(Acceptor("k0", 3, True, {"k1": 2}, {"x": RegisterState((1, "a"), (1, "a"), {"rev": 1})}))
     return store
 
 
-def test_a_keepers_file_comes_back_as_it_was(tmp_path):
-    store = filled(tmp_path)
-    after = Acceptor("k0", 3, True, {"k1": 2}, {"x": RegisterState((7, "b"), (1, "a"), {"rev": 1})})
-    store.save(after, "x")
+def test_state_is_restored_from_the_file(tmp_path):
+    store = store_with_state(tmp_path)
+    saved = Acceptor("k0", 3, True, {"k1": 2}, {"x": RegisterState((7, "b"), (1, "a"), {"rev": 1})})
+    store.save(saved, "x")
     store.close()
-    assert Store(tmp_path, "k0").acceptor == after
+    assert Store(tmp_path, "k0").acceptor == saved
 
 
-@pytest.mark.parametrize("harm, text", [
+@pytest.mark.parametrize("damage, text", [
     (lambda path: path.write_bytes(b"garbage" * 1000), "not a database"),
     (lambda path: path.write_bytes(path.read_bytes()[:3000]), ""),
     (lambda path: path.write_bytes(b""), "not a keeper's file"),
@@ -41,15 +41,15 @@
     (lambda path: _execute(path, "UPDATE about SET value = '99' WHERE key = 'schema'"), "schema '99'"),
     (lambda path: _execute(path, "UPDATE cells SET value = '[[9,\"z\"],[9,\"z\"],1]'"), "checksum"),
     (lambda path: _execute(path, "DROP TABLE cells"), "")])
-def test_a_file_that_is_torn_or_foreign_is_set_aside_and_gives_no_vote(tmp_path, caplog, harm, text):
-    store = filled(tmp_path)
+def test_damaged_or_foreign_file_is_set_aside_and_gives_no_vote(tmp_path, caplog, damage, text):
+    store = store_with_state(tmp_path)
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     store.close()
-    harm(tmp_path / "k0.keeper")
-    again = Store(tmp_path, "k0")
-    if again.acceptor.registers:      # what was torn off was not needed
+    damage(tmp_path / "k0.keeper")
+    reopened = Store(tmp_path, "k0")
+    if reopened.acceptor.registers:    # the lost part of the file was not needed
         return
-    assert not again.acceptor.can_vote and again.acceptor.incarnation == 0
+    assert not reopened.acceptor.can_vote and reopened.acceptor.incarnation == 0
     assert "set aside" in caplog.text and text in caplog.text and list(tmp_path.glob("*.bad-*"))
     assert not Store(tmp_path, "k0").acceptor.can_vote       # nor after a restart
 
@@ -61,7 +61,7 @@
     db.close()
 
 
-def test_garbage_at_the_port_ends_its_connection_and_nothing_else():
+def test_invalid_input_closes_only_its_own_connection():
     async def test() -> None:
         async def answer(call: dict) -> dict:
             if call["do"] == "no":
@@ -85,8 +85,8 @@
             await good.call("no", 2.0)
         with pytest.raises(CallFailed, match="the call's fields"):
             await good.call("yes", 2.0)
-        both = await asyncio.gather(*(good.call("yes", 2.0, n=i) for i in range(40)))
-        assert [one["got"] for one in both] == list(range(40))
+        answers = await asyncio.gather(*(good.call("yes", 2.0, n=i) for i in range(40)))
+        assert [answer["got"] for answer in answers] == list(range(40))
         service.close()
         with pytest.raises(CallFailed):
             await call_once(address, "yes", 0.5, n=1)
@@ -101,7 +101,7 @@
     ('[keeper]\nkeepers = ["a=127.0.0.1:1", "a=127.0.0.1:2", "b=h:3"]', "'a' is named twice"),
     ('[fleet]\nkeepers = []', "it names no keeper"), ('[fleet]\nkeeper = []', "is keepers meant?"),
     ('[fleet]\nkeepers = ["a=h:70000"]', "is not NAME=HOST:PORT")])
-def test_faults_of_the_sections_are_named(tmp_path, text, fault):
+def test_faults_of_the_sections_are_reported(tmp_path, text, fault):
     path = tmp_path / "operator.toml"
     path.write_text(f"{text}\n")
     with pytest.raises(FaultyFile) as caught:
@@ -117,12 +117,12 @@
     return process.returncode, out.decode(), err.decode()
 
 
-def test_the_command_line_publishes_tells_explains_and_halts(tmp_path):
+def test_command_line_publishes_shows_explains_halts_and_audits(tmp_path):
     async def test() -> None:
         async with Rig(Shape(ingresses=4, settle_s=30.0), 41) as rig:
             operator = tmp_path / "operator.toml"
-            named = ["{}={}:{}".format(k, *a) for k, a in rig.keepers.items()]
-            operator.write_text(f"schema = 1\n[keeper]\nkeepers = {json.dumps(named)}\n")
+            keepers = ["{}={}:{}".format(k, *a) for k, a in rig.keepers.items()]
+            operator.write_text(f"schema = 1\n[keeper]\nkeepers = {json.dumps(keepers)}\n")
             config = ("--config", operator)
             cells = tmp_path / "cells.toml"
             cells.write_text(content_of(1)["cells.toml"])
@@ -138,14 +138,14 @@
             cells.write_text("version = 0\n")
             code, _, err = await larchwing("publish", *config, "--cells", cells, "--why", "bad")
             assert code == 2 and "cells.toml" in err and "Traceback" not in err
-            # One is cut off: it is out, and its explanation says why.
+            # An ingress that is cut off is out of service, and `explain` says why.
             rig.cut_off("n2")
             await asyncio.sleep(2.5)
             code, out, _ = await larchwing("status", *config)
             assert code == 4 and out.index("n2 ") < out.index("n0 ")
             code, out, _ = await larchwing("explain", "n2", *config)
             assert code == 5 and "it sends nothing: no lease for" in out and "shut out" in out
-            # A version that waits for it is halted by hand; nobody has acted on it.
+            # An offered version waits for it and is halted by an operator; no ingress has acted on it.
             cells.write_text(content_of(2)["cells.toml"])
             assert (await larchwing("publish", *config, "--cells", cells, "--why", "two"))[0] == 0
             code, out, _ = await larchwing("explain", "n0", *config)
@@ -172,8 +172,8 @@
     run(test(), 90.0)
 
 
-def test_an_upgrade_changes_processes_under_a_version_that_comes():
-    """Two processes of one ingress: both have to go over, and the newcomer never goes back."""
+def test_upgrade_of_an_ingress_during_a_rollout():
+    """With two processes of one ingress, both have to activate the version, and the new one never goes back."""
     async def test() -> None:
         async with Rig(Shape(ingresses=4, twins=True), 42) as rig:
             rig.load(6.0)
@@ -192,8 +192,8 @@
     run(test(), 60.0)
 
 
-def test_a_version_that_some_can_not_take_in_is_halted_and_the_fleet_stays():
-    """Its plans name one that the ingresses' settings don't have."""
+def test_version_that_ingresses_cannot_prepare_is_halted_and_the_fleet_keeps_its_version():
+    """The version names a plan that the settings of the ingresses lack."""
     async def test() -> None:
         async with Rig(Shape(ingresses=4, settle_s=0.5), 43) as rig:
             rig.load(6.0)
@@ -213,13 +213,14 @@
     run(test(), 60.0)
 
 
-def test_an_identity_that_is_taken_twice_is_told_and_the_second_gets_no_licence():
+def test_second_machine_with_the_name_of_an_ingress_gets_no_lease_and_is_reported():
     async def test() -> None:
         async with Rig(Shape(ingresses=3), 44) as rig:
             number, address = rig.members["n1"].number, "127.0.0.1:1"
             fields = {"name": "n1", "life": "x", "origin": "elsewhere", "number": number, "zone": "z1",
                       "address": address, "acting": 0, "prepared": "", "fault": "", "others": 0, "revision": 0}
-            # The name is whose this keeper heard first: under load the stranger was quicker, and had it by right.
+            # A name belongs to the first machine that reports it.  Without this wait, the second machine was sometimes
+            # faster under load and rightly got the name.
             while "n1" not in [w["name"] for w in (await call_once(rig.keepers["k0"], "status", 2.0))["words"]]:
                 await asyncio.sleep(0.05)
             answer = await call_once(rig.keepers["k0"], "renew", 2.0, **fields)
@@ -233,24 +234,24 @@
     run(test(), 60.0)
 
 
-def test_a_publisher_whose_answer_was_lost_asks_again_elsewhere_and_publishes_once():
+def test_publish_that_is_retried_at_another_keeper_publishes_once():
     async def test() -> None:
         async with Rig(Shape(ingresses=3), 45) as rig:
-            told = []
+            answers = []
             for name in ("k0", "k1", "k0"):
-                told.append(await call_once(rig.keepers[name], "publish", 5.0, files=content_of(1), who="me",
-                                            why="once", change="the same"))
-            assert [one["number"] for one in told] == [1, 1, 1]
+                answers.append(await call_once(rig.keepers[name], "publish", 5.0, files=content_of(1), who="me",
+                                               why="once", change="the same"))
+            assert [answer["number"] for answer in answers] == [1, 1, 1]
             assert (await rig.view()).fleet.last == 1
-            newest, old = [await call_once(rig.keepers["k1"], do, 2.0) for do in ("read", "glance")]
-            assert newest["fleet"]["last"] == 1 and old["old"] and old["revision"] <= newest["revision"]
+            newest, local = [await call_once(rig.keepers["k1"], do, 2.0) for do in ("read", "glance")]
+            assert newest["fleet"]["last"] == 1 and local["old"] and local["revision"] <= newest["revision"]
             with pytest.raises(Refusal, match="is offered|has the same content"):
                 await rig.fleet.change("publish", files=content_of(1), who="me", why="again")
 
     run(test(), 60.0)
 
 
-def test_a_record_that_grows_too_large_is_refused():
+def test_join_beyond_the_limit_of_members_is_refused():
     members = {f"n{i}": state.Member(i, "z", "a:1") for i in range(state.MAX_MEMBERS + 1)}
     with pytest.raises(state.StepRefused, match="1001 members exceed the limit of 1000"):
         state.join(state.initial_state("r", state.Bounds()), members)
--- a/tests/fleet/test_registers.py
+++ b/tests/fleet/test_registers.py
@@ -1,4 +1,4 @@
-"""Both registers by one suite: the embedded keepers and etcd; histories of real processes under faults."""
+"""Tests of both registers, embedded and etcd, and linearizability of histories of real keepers under faults."""
 
 import asyncio
 import time
@@ -24,104 +24,105 @@
 from fennelpoint.testing.process_cluster import Rig, Shape
 from fennelpoint.testing.register_linearizability import Op, faults
 
-MOST_HISTORIES = 4          # on a busy machine one history holds too few calls to show anything
-LEAST_MADE, LEAST_CALLS = 30, 200
+MAX_HISTORIES = 4           # on a busy machine, one history has too few calls to be conclusive
+MIN_CHANGES, MIN_CALLS = 30, 200
 
 
 @asynccontextmanager
 async def embedded(tmp_path):
-    """Three keepers in this process, on sockets; a register of each, and how to lose the next answer."""
+    """Runs three acceptors in this process; yields their registers and a function that loses the next answer."""
     ports = {f"k{i}": ("127.0.0.1", free_port()) for i in range(3)}
-    made, services = [], []
+    registers, services = [], []
     for name, address in ports.items():
         store = Store(tmp_path, name)
         store.replace_state(Acceptor(name, 1, True, {}, {}))
-        one = EmbeddedRegister(store, {n: a for n, a in ports.items() if n != name})
+        register = EmbeddedRegister(store, {n: a for n, a in ports.items() if n != name})
 
-        async def answer(call: dict, one=one) -> dict:
-            return encode_answer(one.handle_message(decode_message(call)))
+        async def answer(call: dict, register=register) -> dict:
+            return encode_answer(register.handle_message(decode_message(call)))
 
         services.append(Service("keeper", answer))
         await services[-1].listen(*address)
-        made.append(one)
+        registers.append(register)
 
-    def lose() -> None:
-        """The proposer of the next change ends after its accepts are out."""
-        first, before = made[0], made[0]._run_rounds
+    def lose_next_answer() -> None:
+        """Makes the proposer of the next change fail after its change was agreed."""
+        first, run_rounds = registers[0], registers[0]._run_rounds
 
-        async def agree(key, change):
-            first._run_rounds = before
-            await before(key, change)
+        async def fail_after_agreement(key, change):
+            first._run_rounds = run_rounds
+            await run_rounds(key, change)
             raise UnknownOutcome("the answer was lost")
 
-        first._run_rounds = agree
+        first._run_rounds = fail_after_agreement
 
     try:
-        yield made, lose
+        yield registers, lose_next_answer
     finally:
-        for one, service in zip(made, services, strict=True):
-            one.close()
+        for register, service in zip(registers, services, strict=True):
+            register.close()
             service.close()
-            one.store.close()
+            register.store.close()
 
 
 @asynccontextmanager
 async def over_etcd(tmp_path):
+    """Runs an etcd stand-in; yields three registers on it and a function that loses the next answer."""
     server = Etcd()
     address = await server.start()
 
-    def lose() -> None:
+    def lose_next_answer() -> None:
         server.lose_answers = 1
 
     try:
-        yield [EtcdRegister(address) for _ in range(3)], lose
+        yield [EtcdRegister(address) for _ in range(3)], lose_next_answer
     finally:
         await server.stop()
 
 
 @pytest.mark.parametrize("kind", [embedded, over_etcd])
-def test_a_register_keeps_its_word(kind, tmp_path):
+def test_register_contract(kind, tmp_path):
     async def test() -> None:
-        async with kind(tmp_path) as (registers, lose):
-            one, other, third = registers
-            assert await one.read("x") == VersionedValue(0, None)
-            assert await one.change("x", 0, {"a": 1}, "first") == 1
-            assert (await other.read("x")).data == {"a": 1}
-            assert await other.change("x", 0, "late", "second") is None     # another came first
-            assert await other.change("x", 0, "late", "first") == 1         # made before, by its id
+        async with kind(tmp_path) as (registers, lose_next_answer):
+            first, second, third = registers
+            assert await first.read("x") == VersionedValue(0, None)
+            assert await first.change("x", 0, {"a": 1}, "first") == 1
+            assert (await second.read("x")).data == {"a": 1}
+            assert await second.change("x", 0, "late", "second") is None     # another came first
+            assert await second.change("x", 0, "late", "first") == 1         # made before, by its id
             assert await third.change("x", 1, "b", "third") == 2
-            assert await one.change("x", 2, "c", "fourth") == 3
-            assert await one.change("y", 5, "c", "fifth") is None and (await one.read("y")).revision == 0
-            # An answer that is lost after the change was made: the next try finds it.
-            lose()
+            assert await first.change("x", 2, "c", "fourth") == 3
+            assert await first.change("y", 5, "c", "fifth") is None and (await first.read("y")).revision == 0
+            # The answer to a change is lost after it was made: the retry finds it made.
+            lose_next_answer()
             with pytest.raises(UnknownOutcome):
-                await one.change("x", 3, "d", "sixth")
-            assert await other.change("x", 3, "d", "sixth") == 4
+                await first.change("x", 3, "d", "sixth")
+            assert await second.change("x", 3, "d", "sixth") == 4
             assert (await third.read("x")).revision == 4 and third.read_local("x").revision <= 4
-            # All at once: each revision is made once.
-            made = await asyncio.gather(*(registers[i % 3].change("x", 4, i, f"race {i}") for i in range(9)),
-                                        return_exceptions=True)
-            assert [m for m in made if m == 5] == [5]
-            held = [await register.read("x") for register in registers]
-            assert held[0] == held[1] == held[2] and held[0].revision == 5
+            # Concurrent changes: exactly one makes the revision.
+            revisions = await asyncio.gather(*(registers[i % 3].change("x", 4, i, f"race {i}") for i in range(9)),
+                                             return_exceptions=True)
+            assert [revision for revision in revisions if revision == 5] == [5]
+            values = [await register.read("x") for register in registers]
+            assert values[0] == values[1] == values[2] and values[0].revision == 5
 
     run(test())
 
 
-def test_etcd_that_is_silent_gives_no_answer_and_one_put_back_is_not_believed():
+def test_unavailable_etcd_fails_and_one_restored_from_a_backup_is_rejected():
     async def test() -> None:
         server = Etcd()
         register = EtcdRegister(await server.start())
         for i in range(3):
             if i == 1:
-                copy = server.copy()
+                backup = server.copy()
             assert await register.change("x", i, i, f"change {i}") == i + 1
         server.silent = True
         with pytest.raises(CallFailed, match="does not answer"):
             await register.read("x")
         server.silent = False
         assert (await register.read("x")).revision == 3
-        server.put_back(copy)
+        server.put_back(backup)
         with pytest.raises(CallFailed, match="went back from 4 to 2"):
             await register.read("x")
         server.revision = 50
@@ -138,28 +139,30 @@
 
 
 async def client(rig: Rig, number: int, ops: list[Op], until: float) -> None:
-    """Reads and changes of one key at any keeper, its directory the true addresses."""
-    draw, known, turn = Random(number), 0, 0
+    """Reads and changes one key at random keepers, addressed directly, and records the operations."""
+    random, known_revision, turn = Random(number), 0, 0
     while time.monotonic() < until:
-        address = rig.keepers[draw.choice(sorted(rig.keepers))]
+        address = rig.keepers[random.choice(sorted(rig.keepers))]
         began, turn = time.monotonic(), turn + 1
         try:
-            if draw.random() < 0.5:
-                told = await call_once(address, "get", 2.0, key="x/test")
-                known = told["revision"]
-                ops.append(Op(began, time.monotonic(), f"c{number}", known, told["data"], False))
+            if random.random() < 0.5:
+                answer = await call_once(address, "get", 2.0, key="x/test")
+                known_revision = answer["revision"]
+                ops.append(Op(began, time.monotonic(), f"c{number}", known_revision, answer["data"], False))
             else:
                 value = f"c{number} {turn}"
-                told = await call_once(address, "set", 2.0, key="x/test", expect=known, data=value, change=value)
-                if told["revision"]:
-                    known = told["revision"]
-                    ops.append(Op(began, time.monotonic(), f"c{number}", known, value, True))
+                answer = await call_once(
+                    address, "set", 2.0, key="x/test", expect=known_revision, data=value, change=value)
+                if answer["revision"]:
+                    known_revision = answer["revision"]
+                    ops.append(Op(began, time.monotonic(), f"c{number}", known_revision, value, True))
         except CallFailed:
             pass
-        await asyncio.sleep(draw.uniform(0.0, 0.03))
+        await asyncio.sleep(random.uniform(0.0, 0.03))
 
 
 async def history(broken: str, seconds: float) -> list[Op]:
+    """Returns the operations of five clients while keepers are killed, stopped and partitioned."""
     shape = Shape(ingresses=1, broken=broken)
     async with Rig(shape, 51) as rig:
         ops: list[Op] = []
@@ -185,19 +188,19 @@
         return ops
 
 
-def test_histories_of_real_keepers_under_faults_are_a_registers():
-    made = calls = 0
-    for _ in range(MOST_HISTORIES):
+def test_histories_of_real_keepers_under_faults_are_linearizable():
+    changes = calls = 0
+    for _ in range(MAX_HISTORIES):
         ops: list[Op] = []
         run(_collect(ops, ""), 60.0)
         assert faults(ops) == []
-        made, calls = made + sum(op.made for op in ops), calls + len(ops)
-        if made > LEAST_MADE and calls > LEAST_CALLS:
+        changes, calls = changes + sum(op.made for op in ops), calls + len(ops)
+        if changes > MIN_CHANGES and calls > MIN_CALLS:
             break
-    assert made > LEAST_MADE and calls > LEAST_CALLS
+    assert changes > MIN_CHANGES and calls > MIN_CALLS
 
 
-def test_a_planted_stale_read_is_found():
+def test_injected_stale_read_is_found():
     ops: list[Op] = []
     run(_collect(ops, "stale"), 60.0)
     assert any(" read " in fault for fault in faults(ops))
@@ -207,7 +210,7 @@
     ops += await history(broken, 6.0)
 
 
-def test_what_no_register_would_do_is_found():
+def test_histories_that_are_not_linearizable_are_found():
     good = [Op(0.0, 1.0, "a", 1, "x", True), Op(2.0, 3.0, "b", 1, "x", False), Op(2.5, 4.0, "a", 2, "y", True)]
     assert faults(good) == []
     assert faults([*good, Op(5.0, 6.0, "c", 1, "x", False)])
--- a/tests/fleet/test_routes_version.py
+++ b/tests/fleet/test_routes_version.py
@@ -1,4 +1,4 @@
-"""A version that holds a description: read by a process of its own, gone over to between two requests, or not."""
+"""A version with an OpenAPI description: parsed by a separate process, activated between two requests or rejected."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 from fennelpoint.testing.process import Command, IngressProcess, free_port
 
 
-def test_a_description_comes_with_a_version_and_a_faulty_one_changes_nothing(tmp_path):
+def test_description_of_a_version_replaces_the_routes_and_a_faulty_one_changes_nothing(tmp_path):
     async def test() -> None:
         backend, count = Backend(), Count()
         discovery = List([member("s-0", await backend.start())])
@@ -34,17 +34,17 @@
                 writer.write((f"GET {target} HTTP/1.1\r\nHost: a\r\nX-Txn: {id(writer)}{target}\r\n"
                               "Api-Plan: basic\r\nCookie: account=0000000000000001\r\n"
                               "X-Remaining-Ms: 1500\r\n\r\n").encode())
-                first, _, _ = await read_message(reader)
+                status_line, _, _ = await read_message(reader)
                 writer.close()
-                return first.split()[1]
+                return status_line.split()[1]
 
             async def settled(number: int):
                 for _ in range(300):
-                    told = (await fleet.view()).fleet
-                    if told.coming is None and told.last == number:
-                        return told
+                    state = (await fleet.view()).fleet
+                    if state.coming is None and state.last == number:
+                        return state
                     await asyncio.sleep(0.05)
-                raise AssertionError(told)
+                raise AssertionError(state)
 
             async def publish(text: str, why: str) -> None:
                 await fleet.change("publish", files={"openapi.yaml": text}, who="t", why=why, kind="")
@@ -53,10 +53,10 @@
             await publish(described_routes("/b"), "b in place of a")
             assert (await settled(1)).version.number == 1
             assert [await status("/a"), await status("/b")] == ["404", "200"]
-            ingress.reload()    # its own file does not count now
+            ingress.reload()    # the version's description replaces the ingress's own file
             await publish("openapi: 3.1.0\npaths: 3\n", "faulty")
-            told = await settled(2)
-            assert told.version.number == 1 and "halted" in told.history[-1].state
+            state = await settled(2)
+            assert state.version.number == 1 and "halted" in state.history[-1].state
             assert [await status("/a"), await status("/b")] == ["404", "200"]
         finally:
             await ingress.stop()
--- a/tests/fleet/test_store_folder.py
+++ b/tests/fleet/test_store_folder.py
@@ -1,4 +1,4 @@
-"""The file of a store under a loss of power: its folder's own name is on disk, too."""
+"""Durability of the store's folder: after a power failure, its own name must be on disk, too."""
 
 import os
 from pathlib import Path
@@ -8,15 +8,15 @@
 from fennelpoint.fleet.store import Store
 
 
-def test_each_folder_that_is_made_is_synced_in_the_one_above(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_created_folder_is_synced_in_its_parent(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     synced, fsync = [], os.fsync
 
-    def noted(place: int) -> None:
-        synced.append(Path(os.readlink(f"/proc/self/fd/{place}")))
-        fsync(place)
+    def recording_fsync(descriptor: int) -> None:
+        synced.append(Path(os.readlink(f"/proc/self/fd/{descriptor}")))
+        fsync(descriptor)
 
-    monkeypatch.setattr(os, "fsync", noted)
+    monkeypatch.setattr(os, "fsync", recording_fsync)
     Store(tmp_path / "data" / "writ", "a", exclusive=True).close()
     assert set(synced) == {tmp_path, tmp_path / "data"}
     Store(tmp_path / "data" / "writ", "a", exclusive=True).close()
-    assert len(synced) == 2     # nothing was made
+    assert len(synced) == 2     # no folder was created
