--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -219,7 +219,7 @@
             number, address = rig.members["n1"].number, "127.0.0.1:1"
             fields = {"name": "n1", "life": "x", "origin": "elsewhere", "number": number, "zone": "z1",
                       "address": address, "acting": 0, "prepared": "", "fault": "", "others": 0, "revision": 0}
-            # A name belongs to the first machine that reports it.  Without this wait, the second machine was sometimes
+            # A name belongs to the first machine that reports it.  Without this wait, the second one was sometimes
             # faster under load and rightly got the name.
             while "n1" not in [w["name"] for w in (await call_once(rig.keepers["k0"], "status", 2.0))["words"]]:
                 await asyncio.sleep(0.05)
