--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -507,13 +507,13 @@
             self.is_mixed = False
         else:
             return
-        self.ingress.host.post(api.Figures(self.plans, self.stamp, self.is_mixed))
+        self.ingress.host.post(api.PlansChanged(self.plans, self.stamp, self.is_mixed))
 
     def sweep(self) -> None:
         """Ends a mixed period that is over and checks the lease, several times a second."""
         if self.unmixed_at and boottime_s() >= self.unmixed_at:
             self.unmixed_at, self.is_mixed = 0.0, False
-            self.ingress.host.post(api.Figures(self.plans, self.stamp, False))
+            self.ingress.host.post(api.PlansChanged(self.plans, self.stamp, False))
         if self.lease.is_serving:
             self.may_send()
 
--- a/fennelpoint/system/proxy/controller.py
+++ b/fennelpoint/system/proxy/controller.py
@@ -11,9 +11,9 @@
 from math import inf
 
 from fennelpoint import interface as api
-from fennelpoint.bookkeeping import allowed
+from fennelpoint.bookkeeping import may_send
 from fennelpoint.cells.cell_controller import CelledController
-from fennelpoint.state import Try
+from fennelpoint.state import PendingRequest
 from fennelpoint.system.proxy.events import (
     BackendPlacement,
     Catalogue,
@@ -31,7 +31,7 @@
 class ProxyController(CelledController):
     """The decisions of one proxy."""
 
-    QUOTAS, SELECTION, WAITING = LeasedQuotas, NearestBackend, TimeoutQueue
+    QUOTAS, SELECTION, WAIT_QUEUE = LeasedQuotas, NearestBackend, TimeoutQueue
     RETRY_BUDGET = RetryBudget  # class of each service's budget
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
@@ -40,7 +40,7 @@
         self.budgets: dict[str, RetryBudget] = {}  # by service
         self.slack_share = 0.0  # this proxy's share of the retry rule's slack
         self.shares_expire_at = inf
-        self.on |= {
+        self.handlers |= {
             Catalogue: self._update_catalogue,
             LeasedShares: self._set_shares,
             SharesExtended: self._extend_shares,
@@ -60,13 +60,13 @@
     def _update_catalogue(self, event: Catalogue, now: float) -> None:
         self.quotas.update_plans(event.classes, event.plans, now)
         self.selection.add_classes(event.classes)
-        self.waiting.pump(now)
+        self.wait_queue.dispatch(now)
 
     def _set_shares(self, event: LeasedShares, now: float) -> None:
         self.shares_expire_at = event.expires_at
         self.quotas.set_shares(event.shares, event.has_pools, now)
         self._set_slack_share(event.slack, now)
-        self.waiting.repeat_unit_requests(now)
+        self.wait_queue.repeat_unit_requests(now)
 
     def _extend_shares(self, event: SharesExtended, now: float) -> None:
         if self.shares_expire_at < inf:  # else nothing is leased
@@ -88,52 +88,52 @@
 
     def _add_units(self, event: UnitsGranted, now: float) -> None:
         for pending in self.quotas.add_units(event, now):
-            self.waiting.refuse(pending, now, 0.0)
-        self.waiting.pump(now)
+            self.wait_queue.refuse(pending, now, 0.0)
+        self.wait_queue.dispatch(now)
 
     def _update_placement(self, event: BackendPlacement, now: float) -> None:
         self.selection.update_placement(event)
 
     def _admit(self, ask: api.Request, now: float) -> None:
         if self.barred:
-            return self.out.append(api.Refuse(ask.request, MAX_RETRY_AFTER_S))
+            return self.actions.append(api.Refuse(ask.request, MAX_RETRY_AFTER_S))
         super()._admit(ask, now)
 
     # Retries
 
     def _outcome(self, outcome: api.Outcome, now: float) -> None:
-        if outcome.wrote and (pending := self.line.open.get(outcome.request)) is not None:
+        if outcome.wrote and (pending := self.requests.open.get(outcome.request)) is not None:
             pending.reached = True  # a backend may have counted the head of a request that was cut off half way
         super()._outcome(outcome, now)
 
-    def _place(self, pending: Try, now: float) -> bool:
+    def _try_send(self, pending: PendingRequest, now: float) -> bool:
         if pending.attempts and not self._may_retry(pending, now):
             return False
-        is_placed = super()._place(pending, now)
+        is_placed = super()._try_send(pending, now)
         if is_placed:
             budget = self._budget_of(pending, now)
             if pending.attempts == 1:
-                budget.earn(pending.came_at, now)
-                self.waiting.fair_order.record(self.waiting.level_of(pending), True, now)
+                budget.earn(pending.arrived_at, now)
+                self.wait_queue.fair_order.record(self.wait_queue.level_of(pending), True, now)
             elif pending.reached:
                 budget.spend(now)
         return is_placed
 
-    def _budget_of(self, pending: Try, now: float) -> RetryBudget:
-        service = pending.ask.cell.partition("|")[0]
+    def _budget_of(self, pending: PendingRequest, now: float) -> RetryBudget:
+        service = pending.request.cell.partition("|")[0]
         if (budget := self.budgets.get(service)) is None:
             rule = self.retry_rule
             budget = self.budgets[service] = self.RETRY_BUDGET(rule.ratio, rule.window_s, self.slack_share, now)
         return budget
 
-    def _may_retry(self, pending: Try, now: float) -> bool:
+    def _may_retry(self, pending: PendingRequest, now: float) -> bool:
         """Whether it may go to another backend: by the budget, if a backend may have received it before."""
         return not pending.reached or self._budget_of(pending, now).allows(now)
 
-    def _again(self, pending: Try, outcome: api.Outcome, now: float) -> bool:
-        pending.avoid = outcome.backend
-        if pending.attempts >= (pending.ask.attempts or self.settings.max_attempts) or not self._may_retry(
+    def _retry(self, pending: PendingRequest, outcome: api.Outcome, now: float) -> bool:
+        pending.previous_backend = outcome.backend
+        if pending.attempts >= (pending.request.attempts or self.settings.max_attempts) or not self._may_retry(
             pending, now
         ):
             return False
-        return pending.ran_at is None or allowed(pending, self.settings, now)
+        return pending.ran_at is None or may_send(pending, self.settings, now)
