--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -45,7 +45,7 @@
 
 INITIAL_CALL_INTERVAL_S = 0.3   # between calls until the term of a lease is known; then a quarter of the term
 SUSPECT_S = 2.0                 # during which a keeper that did not answer is called after the others
-AUDIT_MARK_INTERVAL_S = 0.5     # between marks of the audit: the time of which a kill can lose the record
+AUDIT_MARK_INTERVAL_S = 0.5     # between marks of the audit; a kill loses at most this much of it
 REFETCH_DELAY_S = 0.5           # until a content that could not be fetched is requested again
 MAX_PEER_CALLS = 64             # concurrent calls to peers, and reports of peers relayed in one call
 MAX_NOTIFIED_PEERS = 1          # peers behind that are notified after one answer of a keeper
--- a/fennelpoint/fleet/coordinator.py
+++ b/fennelpoint/fleet/coordinator.py
@@ -84,7 +84,7 @@
         self.rollout = RolloutController()
         self.latest: RecordRead | None = None
         self.joining: dict[str, state.Member] = {}
-        self.join_refusals: dict[str, str] = {}       # by name: why a member could not join
+        self.join_refusals: dict[str, str] = {}   # by name: why a member could not join
         self.error = "it has not read the record yet"
         self.last_call_at = 0.0
         self.pending_spans: dict[tuple[str, str, int], str] = {}    # not on disk yet, for at most FLUSH_INTERVAL_S
@@ -213,7 +213,7 @@
             fleet = state.parse(current.data)
             self._update_latest(current, began_at)
             if change_id in current.change_ids:
-                return current     # it was made in an earlier attempt whose answer was lost
+                return current  # it was made in an earlier attempt whose answer was lost
             value = step(fleet).to_dict()
             if value == current.data:
                 return current
--- a/tests/fleet/test_coordinator.py
+++ b/tests/fleet/test_coordinator.py
@@ -51,7 +51,7 @@
         return
     assert not reopened.acceptor.can_vote and reopened.acceptor.incarnation == 0
     assert "set aside" in caplog.text and text in caplog.text and list(tmp_path.glob("*.bad-*"))
-    assert not Store(tmp_path, "k0").acceptor.can_vote       # nor after a restart
+    assert not Store(tmp_path, "k0").acceptor.can_vote     # nor after a restart
 
 
 def _execute(path: Path, statement: str) -> None:
--- a/tests/fleet/test_fleet_simulation.py
+++ b/tests/fleet/test_fleet_simulation.py
@@ -156,16 +156,17 @@
 
 def test_version_closes_at_once_if_all_are_prepared_later_without_a_few_and_is_halted_without_many():
     offered = state.offer(fleet_of(8), "d", state.TIGHTENING, "me", "why")
-    for ready, soon, late, at_last in ((8, "close", None, None), (7, None, "close", None), (4, None, None, "halt")):
+    for prepared, at_once, after_settling, at_last in (
+            (8, "close", None, None), (7, None, "close", None), (4, None, None, "halt")):
         controller = RolloutController()
         steps = []
         for at in (10.0, 12.5, 14.5):
             for i in range(8):
-                said = {"prepared_digest": "d"} if i < ready else {"error": "no cells here"}
-                controller.reported(report(i, at, **said), 1.0)
+                fields = {"prepared_digest": "d"} if i < prepared else {"error": "no cells here"}
+                controller.reported(report(i, at, **fields), 1.0)
             steps.append(controller.next_step(offered, 9, at))
-        assert [step and step.kind for step in steps][:1 + bool(late) + 2 * bool(at_last)] == [
-            soon, late, at_last][:1 + bool(late) + 2 * bool(at_last)]
+        assert [step and step.kind for step in steps][:1 + bool(after_settling) + 2 * bool(at_last)] == [
+            at_once, after_settling, at_last][:1 + bool(after_settling) + 2 * bool(at_last)]
         if at_last:
             assert "no cells here" in steps[-1].reason and "n4, n5, n6, n7" in steps[-1].reason
 
@@ -181,7 +182,7 @@
 
     assert next_step(10.0, 4) is None and "may still act on version 0" in controller.blocking_reason(closing, 10.0)
     assert next_step(11.5, 7) is None and next_step(12.4, 7) is None     # enough since 11.5
-    assert next_step(12.45, 4) is None                               # members fell back: the term starts again
+    assert next_step(12.45, 4) is None     # members fell back: the term starts again
     assert next_step(12.5, 7) is None and next_step(13.5, 7) is None
     assert next_step(13.6, 7) == Step("enforce", 1)
 
@@ -202,7 +203,7 @@
     controller.reported(report(1, 10.1, active_version=1, incarnation="new", sibling_count=1), 1.0)
     assert "n1" in controller.members_behind(fleet, 10.2, 1)
     controller.reported(report(1, 15.0, active_version=1, incarnation="new", sibling_count=1), 1.0)
-    assert "n1" in controller.members_behind(fleet, 15.1, 1)       # the old one is silent, but alive
+    assert "n1" in controller.members_behind(fleet, 15.1, 1)     # the old one is silent, but alive
     controller.reported(report(1, 15.2, active_version=1, incarnation="new", sibling_count=0), 1.0)
     assert "n1" not in controller.members_behind(fleet, 15.3, 1)
     restarted = RolloutController()
@@ -210,7 +211,7 @@
     assert "n1" in restarted.members_behind(fleet, 10.1, 1)     # a restarted keeper has no report of the old one
 
 
-def admitted(fleet: state.Fleet, now: float = 10.0) -> VersionLease:
+def granted_lease(fleet: state.Fleet, now: float = 10.0) -> VersionLease:
     lease = VersionLease("n0")
     actions = lease.granted("k0", fleet, 5, 1.0, now, now)
     assert [type(a) for a in actions] == [ActivateVersion, StartServing]
@@ -226,7 +227,7 @@
 
 
 def test_outdated_answer_refusal_and_other_record_do_not_extend_the_lease():
-    lease = admitted(fleet_of(8))
+    lease = granted_lease(fleet_of(8))
     lease.granted("k1", fleet_of(8), 4, 5.0, 10.1, 10.1)
     assert lease.expires_at == 11.0
     lease.granted("k1", fleet_of(8), 5, 0.0, 10.5, 10.5)
@@ -247,7 +248,7 @@
 
 
 def test_version_is_fetched_when_offered_and_activated_when_it_closes():
-    lease = admitted(fleet_of(8))
+    lease = granted_lease(fleet_of(8))
     offered = state.offer(fleet_of(8), "d", state.TIGHTENING, "me", "why")
     assert lease.granted("k0", offered, 6, 1.0, 10.2, 10.2) == [FetchContent(1, "d")]
     assert lease.content_ready("d", 10.3) == [] and lease.active_version == 0
@@ -258,7 +259,7 @@
 
 
 def test_process_that_cannot_prepare_a_version_serves_until_its_previous_lease_expires():
-    lease = admitted(fleet_of(8))
+    lease = granted_lease(fleet_of(8))
     offered = state.offer(fleet_of(8), "d", state.TIGHTENING, "me", "why")
     lease.granted("k0", offered, 6, 1.0, 10.2, 10.2)
     (line,) = lease.fetch_failed("d", "cells are off here", 10.3)
@@ -277,11 +278,11 @@
 def test_many_processes_without_a_keeper_continue_and_few_stop_serving():
     fleet = fleet_of(8)     # 2 of 8 may be out
     for peers, continues in ((1, False), (2, False), (5, True)):
-        lease = admitted(fleet)
+        lease = granted_lease(fleet)
         for i in range(peers):
             lease.peer_reported(peer(2 + i if peers < 3 else 1 + i), 11.5, 11.6)
         assert lease.is_valid(11.9) is (continues or peers == 2)
-    lease = admitted(fleet)
+    lease = granted_lease(fleet)
     lease.peer_reported(peer(1), 11.5, 11.6)     # together with n0, the whole set of an agency
     assert lease.is_valid(12.4) and not lease.is_valid(12.6)
 
@@ -291,21 +292,21 @@
     grown = state.join(fleet_of(1, ring=8), {f"n{i}": state.Member(i, f"z{i % 3}", "a:1") for i in range(1, 8)})
     assert grown.least[""] == 1 and state.outage_violation(grown, {"n0"}) and not state.outage_violation(
         state.confirm_members(grown), {"n0"})
-    lease = admitted(grown)
+    lease = granted_lease(grown)
     lease.update(11.5)
     assert not lease.is_valid(11.5)
 
 
 @pytest.mark.parametrize("change", [{"is_history_known": False}, {"active_version": 1}, {"revision": 6}])
 def test_peers_in_another_state_do_not_extend_the_static_term(change):
-    lease = admitted(fleet_of(8))
+    lease = granted_lease(fleet_of(8))
     for i in range(1, 8):
         lease.peer_reported(peer(i, **change), 11.5, 11.6)
     assert not lease.is_valid(11.7)
 
 
 def test_peer_passes_on_the_rest_of_its_lease():
-    lease = admitted(fleet_of(8))
+    lease = granted_lease(fleet_of(8))
     lease.peer_reported(peer(4, lease_left_s=0.6), 11.5, 11.9)
     assert lease.is_valid(12.05) and not lease.is_valid(12.15)
 
--- a/tests/system/test_content_retention.py
+++ b/tests/system/test_content_retention.py
@@ -34,7 +34,7 @@
                     return sent
                 self.disk[action.digest] = action.data
                 for evicted in contents_to_evict([(d, len(c)) for d, c in self.disk.items()],
-                                           {*action.retained, action.digest}):
+                                                 {*action.retained, action.digest}):
                     del self.disk[evicted]
             elif isinstance(action, Send):
                 sent.append((action.to, action.message))
