--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -150,7 +150,7 @@
     def sibling_count(self) -> int:
         """The number of further live processes of this ingress."""
         twins = self.ingress.parts.get("twins")
-        return len(twins.relay.living()) if twins is not None else 0
+        return len(twins.registry.live_generations()) if twins is not None else 0
 
     def _restore(self) -> None:
         """Restores the state that the previous process left; an unusable file is set aside with one log line."""
@@ -479,7 +479,7 @@
         routes = self.ingress.parts.get("routes")
         if routes is not None and new is not previous:
             self.ingress.server.reader.take(new.table if new.table is not None else self.configured_table)
-            routes.ruled = new.table is not None
+            routes.is_fleet_managed = new.table is not None
         # While the previous version may still be acted on, the smaller of both limits applies.
         old = self.prepared.get(self.lease.fleet.version.digest) if action.is_mixed else new
         self._apply_plans(version_contents.minimum_limits(old.plans, new.plans) if old is not None else new.plans,
--- a/fennelpoint/system/proxy/request_parser.py
+++ b/fennelpoint/system/proxy/request_parser.py
@@ -16,7 +16,7 @@
 from fennelpoint.body_buffering import Upload
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.controller_host import Asked
-from fennelpoint.net.request_parser import BadRequest, Reader, Reply, framing
+from fennelpoint.net.request_parser import BadRequest, LocalReply, RequestReader, body_framing_field
 from fennelpoint.system.config_versions import Holder, Route, Version
 from fennelpoint.system.proxy.queue_timeout import MAX_RETRY_AFTER_S
 
@@ -40,7 +40,7 @@
             self.head, max(1, int(left * 1000)), str(backend).encode(), self.body)
 
 
-class ProxyReader(Reader):
+class ProxyReader(RequestReader):
     """Reads requests by a configuration version.  Classes and plans are only added, so that their numbers stay.
 
     `is_leased` tells whether the version is confirmed as the newest, as of a time within the bound of the settings.
@@ -96,7 +96,7 @@
         is_head = method == b"HEAD"
         route = version.find(host.decode("latin-1"), path.decode("latin-1"))
         if route is None:
-            raise self._if_leased(Reply(404, body=b"there is no such route\n", bare=is_head))
+            raise self._if_leased(LocalReply(404, body=b"there is no such route\n", is_head_request=is_head))
         tenant = self._tenant(version, route, single_headers.get(b"authorization"), is_head)
         time_left = min(self._remaining_s(single_headers, route), route.timeout)
         lines = [method + b" " + url + b" HTTP/1.1"]
@@ -108,7 +108,7 @@
             lines.append(b"X-Tenant-Name: " + tenant.name.encode())
         if (body or upload is not None or b"content-length" in single_headers
                 or b"transfer-encoding" in single_headers):
-            lines.append(framing(body, upload))
+            lines.append(body_framing_field(body, upload))
         customer = self.plans[tenant.name] if tenant is not None else PUBLIC_CUSTOMER
         if tenant is not None:
             self.request_counts[tenant.name] = self.request_counts.get(tenant.name, 0) + 1
@@ -123,17 +123,19 @@
         if authorization is not None and authorization[:6].lower() == SCHEME:
             tenant = version.keys.get(authorization[6:].strip().decode("latin-1"))
         if tenant is None and version.keys and not route.public:
-            raise self._if_leased(Reply(401, ((b"www-authenticate", b"Token"),), b"the key is not known\n", is_head))
+            raise self._if_leased(
+                LocalReply(401, ((b"www-authenticate", b"Token"),), b"the key is not known\n", is_head)
+            )
         return tenant
 
-    def _if_leased(self, reply: Reply) -> Reply:
+    def _if_leased(self, reply: LocalReply) -> LocalReply:
         """A refusal by the version that is applied here, if it is leased."""
-        return reply if self.is_leased() else self._not_leased(reply.bare)
+        return reply if self.is_leased() else self._not_leased(reply.is_head_request)
 
     @staticmethod
-    def _not_leased(is_head: bool = False) -> Reply:
+    def _not_leased(is_head: bool = False) -> LocalReply:
         """The answer to a request while there is no lease: it has not run and may be sent again."""
-        return Reply(503, ((b"retry-after", RETRY_AFTER_S),), b"refused: trying again is harmless\n", is_head)
+        return LocalReply(503, ((b"retry-after", RETRY_AFTER_S),), b"refused: trying again is harmless\n", is_head)
 
     def _remaining_s(self, single_headers: dict[bytes, bytes], route: Route) -> float:
         """Seconds that the client still waits; the route's timeout if it does not say."""
