--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -22,7 +22,7 @@
 import structlog
 
 from fennelpoint import interface as api
-from fennelpoint.component import Carrier, Part
+from fennelpoint.component import Component, IngressContext
 from fennelpoint.fleet import audit, logs, plan_parameters, state, version_contents
 from fennelpoint.fleet.disk_ring_buffer import Ring
 from fennelpoint.fleet.rpc import CallFailed, Line, Service
@@ -67,10 +67,10 @@
     table: RouteTable | None = None
 
 
-class FleetComponent(Part):
+class FleetComponent(Component):
     """One process of an ingress in its fleet."""
 
-    def __init__(self, ingress: Carrier, section: FleetSection) -> None:
+    def __init__(self, ingress: IngressContext, section: FleetSection) -> None:
         logs.configure()
         config, settings = ingress.config, ingress.config.settings
         self.ingress, self.section, self.name, self.loop = ingress, section, config.name, ingress.loop
@@ -105,8 +105,8 @@
         self.saved_revision = 0     # the revision of the fleet state on disk
         self.last_renewed_at, self.error, self.refusal = 0.0, "", ""
         self.cells = ingress.host.cells
-        ingress.life.handle(Event.BAR, time.monotonic())
-        ingress.host.gate = self.may_send
+        ingress.life_cycle.handle(Event.BAR, time.monotonic())
+        ingress.host.may_send = self.may_send
         ingress.host.post(api.Barred(True))
         self.calls: dict[str, Callable] = {
             "peer": self._on_peer, "content": self._on_content, "tell": self._on_tell, "status": self._on_status,
@@ -131,7 +131,7 @@
         reader = self.ingress.server.reader
         self.configured_table = getattr(reader, "table", None)
         _, (host, port) = address_of("=" + self.section.listen)
-        await self.service.listen(host, port, reuse_port=self.ingress.config.inherited is not None)
+        await self.service.listen(host, port, reuse_port=self.ingress.config.inherited_socket is not None)
         self.tasks = [asyncio.ensure_future(loop) for loop in (self._renew_loop(), self._mark_loop())]
 
     def close(self) -> None:
@@ -149,7 +149,7 @@
     @property
     def sibling_count(self) -> int:
         """The number of further live processes of this ingress."""
-        twins = self.ingress.parts.get("twins")
+        twins = self.ingress.components.get("twins")
         return len(twins.registry.live_generations()) if twins is not None else 0
 
     def _restore(self) -> None:
@@ -266,7 +266,7 @@
         return {"name": self.name, "life": self.incarnation, "origin": self.origin, "number": self.member.number,
                 "zone": self.member.zone, "address": self.member.address, "others": self.sibling_count,
                 "acting": lease.active_version, "prepared": coming if coming in lease.ready_contents else "",
-                "fault": lease.fetch_error, "phase": self.ingress.life.phase.value, "revision": lease.revision,
+                "fault": lease.fetch_error, "phase": self.ingress.life_cycle.phase.value, "revision": lease.revision,
                 "record": fleet.record if fleet is not None else ""}
 
     def _reports_to_relay(self) -> list[dict]:
@@ -394,7 +394,7 @@
 
     async def _parse_routes(self, content: version_contents.Content) -> RouteTable:
         """Parses the OpenAPI description in a process of its own; raises FaultyFile."""
-        routes = self.ingress.parts.get("routes")
+        routes = self.ingress.components.get("routes")
         if routes is None:
             raise FaultyFile([
                 Fault(version_contents.ROUTES, 0, "", "routes are disabled: the operator file has no section")])
@@ -456,13 +456,13 @@
                 case ActivateVersion():
                     self._activate(action)
                 case StopServing():
-                    self.ingress.life.handle(Event.BAR, time.monotonic())
+                    self.ingress.life_cycle.handle(Event.BAR, time.monotonic())
                     self.ingress.host.post(api.Barred(True))
                     self._begin_span(audit.OUT, action.reason)
                     log.error("shut out", ingress=self.name, why=action.reason)
-                    self.ingress.look()
+                    self.ingress.check_shutdown()
                 case StartServing():
-                    self.ingress.life.handle(Event.ADMIT, time.monotonic())
+                    self.ingress.life_cycle.handle(Event.ADMIT, time.monotonic())
                     self.ingress.host.post(api.Barred(False))
                     self._begin_span(self.lease.active_version, f"lease from {action.reason}")
                     log.info("admitted", ingress=self.name, version=self.lease.active_version, by=action.reason)
@@ -475,8 +475,9 @@
         if self.cells is not None and new is not previous:
             plan = new.content.cells
             self.cells.ruled = action.number if plan is not None else 0
-            self.cells.take(replace(plan, version=action.number) if plan is not None else self.ingress.config.cells)
-        routes = self.ingress.parts.get("routes")
+            self.cells.take(replace(plan, version=action.number) if plan is not None
+                            else self.ingress.config.cell_plan)
+        routes = self.ingress.components.get("routes")
         if routes is not None and new is not previous:
             self.ingress.server.reader.take(new.table if new.table is not None else self.configured_table)
             routes.is_fleet_managed = new.table is not None
@@ -580,7 +581,7 @@
                 "static_left": lease.static_expires_at - now, "source": lease.source, "trouble": self.error,
                 "refused": self.refusal, "foreign": lease.foreign_record, "reason": lease.reason_without_lease(now),
                 "renewed": now - self.last_renewed_at if self.last_renewed_at else -1.0, "mixed": lease.is_mixed,
-                "roster": len(self.ingress.discovery.known), "figures_mixed": self.is_mixed}
+                "roster": len(self.ingress.discovery.known_addresses), "figures_mixed": self.is_mixed}
 
     def _on_spans(self, call: dict) -> dict:
         """Returns the spans of the audit that this process has."""
--- a/fennelpoint/system/store/replica.py
+++ b/fennelpoint/system/store/replica.py
@@ -32,9 +32,9 @@
     handle,
     is_quorum,
 )
-from fennelpoint.system.actions import Note, Send
+from fennelpoint.system.actions import LogEvent, Send
 from fennelpoint.system.config_versions import digest as digest_of
-from fennelpoint.system.graceful_shutdown import Leaving
+from fennelpoint.system.graceful_shutdown import GracefulShutdown
 from fennelpoint.system.incarnation import first_number
 from fennelpoint.system.registry.quorum_check import BACKLOG_S, PAUSE_THRESHOLD_S
 from fennelpoint.system.store import idempotency
@@ -98,7 +98,7 @@
     """Reached only if the disk took all writes before it."""
 
 
-Action = Send | Save | SaveContent | DiskSynced | Note
+Action = Send | Save | SaveContent | DiskSynced | LogEvent
 REGISTRY = "roll"
 
 
@@ -163,7 +163,7 @@
         self.started_at = now
         self.connected: set[str] = set()    # core machines whose replica is connected
         self.failure_detector = FailureDetector(me)
-        self.leaving = Leaving()
+        self.leaving = GracefulShutdown()
         # Until `stale_input_until`, messages may date from before a pause of this process.
         self.last_event_at = self.stale_input_until = now
         self.disk_error = ""    # if set, no answer reveals stored data until the disk has taken all of it
@@ -174,10 +174,10 @@
                 register = RegisterState(FOUNDING_BALLOT, FOUNDING_BALLOT, initial_state({ip: "" for ip in seeds}))
                 self.acceptor = Acceptor(me, 1, True, {}, {KEY: register})
                 self.actions.append(Save(self.acceptor, is_full=True))
-                self.actions.append(Note("FOUNDED", {"voters": ", ".join(sorted(seeds))}))
+                self.actions.append(LogEvent("FOUNDED", {"voters": ", ".join(sorted(seeds))}))
             else:
                 self.rejoin = Rejoin(me, 0, {}, groups_of=groups_of)
-                self.actions.append(Note("REJOINING", {"node": me, "peers": ", ".join(sorted(self.peers))}))
+                self.actions.append(LogEvent("REJOINING", {"node": me, "peers": ", ".join(sorted(self.peers))}))
         self._update_peers()
 
     # Members
@@ -204,7 +204,7 @@
         kind, *arguments = message
         if peer == REGISTRY or kind == "hail":
             # The local registry leaves first; a replica that lost its disk asks again, and may need this one's reply.
-            self.leaving.busy(now + (REJOIN_RETRY_S if kind == "hail" else 0.0))
+            self.leaving.mark_busy(now + (REJOIN_RETRY_S if kind == "hail" else 0.0))
         self._expire_changes(now)
         handler = getattr(self, f"_on_{kind}", None)
         # Guards against data that a power loss would take back: with a disk that refuses writes, memory is ahead of
@@ -291,14 +291,14 @@
         """Begins shutdown on SIGTERM: rounds under way are completed, and no internal change is begun."""
         if not self.leaving:
             self.leaving.begin(now)
-            self.actions.append(Note("STOP", {"node": self.me}))
+            self.actions.append(LogEvent("STOP", {"node": self.me}))
         return self._take_actions()
 
     def can_exit(self, now: float) -> bool:
         """Whether this process has no work left and may exit."""
         if self.pending_changes:
-            self.leaving.busy(now)
-        return self.leaving.over(now)
+            self.leaving.mark_busy(now)
+        return self.leaving.is_complete(now)
 
     def _record_event(self, now: float) -> None:
         if now - self.last_event_at > PAUSE_THRESHOLD_S:
@@ -322,7 +322,7 @@
         """The disk holds everything that memory does."""
         if self.disk_error:
             self.disk_error = ""
-            self.actions.append(Note("DISK_WELL", {"node": self.me}))
+            self.actions.append(LogEvent("DISK_WELL", {"node": self.me}))
 
     # Acceptor: requests of other proposers
 
@@ -483,7 +483,7 @@
         self.acceptor, self.rejoin = acceptor, None
         self.highest_round = max(self.highest_round, register.promised[0])
         self.actions.append(Save(acceptor, is_full=True))
-        self.actions.append(Note("REJOINED", {"node": self.me, "life": acceptor.incarnation}))
+        self.actions.append(LogEvent("REJOINED", {"node": self.me, "life": acceptor.incarnation}))
         self._update_peers()
 
     # Proposer: changes of this replica and of the local registry
@@ -686,11 +686,11 @@
         self.highest_round = max(self.highest_round, ballot[0])     # a non-voter learns others' ballots only here
         if not self.state or state["rev"] > self.state["rev"]:
             if self.state and state["voters"].keys() != self.state["voters"].keys():
-                self.actions.append(Note("VOTERS", {"voters": ", ".join(sorted(state["voters"]))}))
+                self.actions.append(LogEvent("VOTERS", {"voters": ", ".join(sorted(state["voters"]))}))
             if not self.state or state["version"] != self.state["version"]:
-                self.actions.append(Note("DECIDED", {"version": state["version"], "rev": state["rev"]}))
+                self.actions.append(LogEvent("DECIDED", {"version": state["version"], "rev": state["rev"]}))
             if self.state and state["evac"] != self.state["evac"]:
-                self.actions.append(Note("EVACUATED", {"zones": ", ".join(state["evac"]) or "none"}))
+                self.actions.append(LogEvent("EVACUATED", {"zones": ", ".join(state["evac"]) or "none"}))
             if self.state:
                 self.recent_contents.record_superseded(self.state, now)
             self.state, self.state_ballot = state, ballot
--- a/fennelpoint/testing/operators.py
+++ b/fennelpoint/testing/operators.py
@@ -13,8 +13,8 @@
 from heapq import heappop
 from random import Random
 
-from fennelpoint.system.http_server import Asking
-from fennelpoint.system.mesh import ip_of, name
+from fennelpoint.system.http_server import ApiRequest
+from fennelpoint.system.mesh import ip_of, peer_name
 from fennelpoint.system.settings import Bounds
 from fennelpoint.testing.core_machines import Broken, Core
 from fennelpoint.testing.core_simulation import SILENT, World
@@ -38,8 +38,8 @@
         self.dice = Random(self.plan.seed)
         self.bounds = Bounds()
         self.flows: list[Flow] = []
-        self.open: dict[int, tuple[Flow, Asking, str]] = {}
-        self.kept: list[Asking] = []  # so that no other gets the same id
+        self.open: dict[int, tuple[Flow, ApiRequest, str]] = {}
+        self.kept: list[ApiRequest] = []  # so that no other gets the same id
         self.known = [0, 0]  # newest version that each operator has seen
         self.orders = 0
         self.bodies: dict[int, bytes] = {}  # of orders
@@ -112,10 +112,10 @@
                 elif self.now - since >= (LINKED if joined or not up else SILENT):
                     self.between[a, b] = (joined, self.now)
                     if one.up and a == b:
-                        self._linked(name("roll", a), name("writ", a), joined)
+                        self._linked(peer_name("roll", a), peer_name("writ", a), joined)
                     elif one.up:
-                        self._linked(name("roll", a), name("roll", b), joined)
-                        self._linked(name("writ", a), name("writ", b), joined)
+                        self._linked(peer_name("roll", a), peer_name("roll", b), joined)
+                        self._linked(peer_name("writ", a), peer_name("writ", b), joined)
 
     def _deliver(self, source: str, to: str, message: list) -> None:
         if (waiting := self.asleep.get(ip_of(to))) is not None:
--- a/tests/system/test_proxy.py
+++ b/tests/system/test_proxy.py
@@ -11,7 +11,7 @@
 from fennelpoint.net.backends import Exchange
 from fennelpoint.net.controller_runtime import Clock
 from fennelpoint.net.request_parser import BadRequest, LocalReply
-from fennelpoint.system.config_versions import Version
+from fennelpoint.system.config_versions import ConfigVersion
 from fennelpoint.system.proxy.controller import ProxyController
 from fennelpoint.system.proxy.controller_host import ProxyBackends
 from fennelpoint.system.proxy.events import (
@@ -48,7 +48,7 @@
                             {"name": "t2", "api_keys": ["k2"], "home_regions": ["r2", "r3"]},
                             {"name": "t3", "api_keys": ["k3"], "home_regions": ["r3"]}]
     result = ProxyReader(lambda: None, Random(1), lambda: is_leased)
-    result.apply_version(Version(value))
+    result.apply_version(ConfigVersion(value))
     return result
 
 
@@ -115,9 +115,9 @@
 def test_judgement_of_answers(status, fields, expected) -> None:
     pool = ProxyBackends(asyncio.new_event_loop(), 10, 0.1, 0.0, Budget(1 << 20))
     exchange = Exchange(lambda: b"", lambda status, answer: None)
-    exchange.txn = b"i1"
+    exchange.request_id = b"i1"
     assert pool.judge(exchange, status, list(fields.items())) is expected
-    assert pool.keeps_for([(b"keep-alive", b"timeout=10, max=5")]) == 6.0
+    assert pool.keep_alive_s([(b"keep-alive", b"timeout=10, max=5")]) == 6.0
 
 
 class Proxy:
--- a/tests/system/test_whose_answer.py
+++ b/tests/system/test_whose_answer.py
@@ -7,10 +7,10 @@
 
 from fennelpoint import interface as api
 from fennelpoint.body_buffering import Budget
-from fennelpoint.net.backends import Answer, Exchange
-from fennelpoint.net.controller_host import Asked, Ticket
-from fennelpoint.system.calls import find
-from fennelpoint.system.http_server import Asking, Reply, Visit, Web
+from fennelpoint.net.backends import Exchange, Response
+from fennelpoint.net.controller_host import OpenRequest, ParsedRequest
+from fennelpoint.system.calls import find_call
+from fennelpoint.system.http_server import ApiRequest, HttpConnection, HttpServer, Reply
 from fennelpoint.system.proxy.controller_host import ProxyBackends, ProxyHost
 
 S = api.Status
@@ -56,7 +56,7 @@
     ended = asyncio.get_running_loop().create_future()
     exchange = Exchange(lambda: b"POST /x HTTP/1.1\r\nX-Attempt-Id: %b\r\n\r\n" % id,
                         lambda status, answer: ended.set_result(status))
-    exchange.txn, exchange.once, exchange.may = id, once, may
+    exchange.request_id, exchange.at_most_once, exchange.may_send = id, once, may
     pool.begin(exchange, "b")
     return await ended
 
@@ -106,10 +106,10 @@
     class Client:
         got = None
 
-        def served(self, answer: Answer) -> None:
+        def send_response(self, answer: Response) -> None:
             self.got = answer.status
 
-        def failed(self) -> None:
+        def send_failure(self) -> None:
             self.got = "failed"
 
     async def run() -> None:
@@ -120,8 +120,8 @@
         pool = ProxyBackends(loop, 10, 0.5, 0.0, Budget(1 << 20))
         host = ProxyHost(loop, given, 1, pool, None, Budget(1 << 20))
         client = Client()
-        asked = Asked(b"i1", 0, 0, 0, 1.0, 1.0, 1.0, 0.0, False, write, b"", b"")
-        host.tickets[1] = Ticket(1, asked, client, 1.0, last=Answer(status, [], b""))
+        asked = ParsedRequest(b"i1", 0, 0, 0, 1.0, 1.0, 1.0, 0.0, False, write, b"", b"")
+        host.open_requests[1] = OpenRequest(1, asked, client, 1.0, last_failure=Response(status, [], b""))
         host._fail(api.Fail(1))
         assert client.got == expected
     asyncio.run(run())
@@ -142,13 +142,14 @@
 
 def test_pipelined_calls_of_one_connection_get_their_answers_in_order() -> None:
     async def run() -> None:
-        requests: list[Asking] = []
+        requests: list[ApiRequest] = []
         connection, transport = (
-            Visit(Web(asyncio.get_running_loop(), requests.append), "control_plane"), RecordingTransport())
+            HttpConnection(HttpServer(asyncio.get_running_loop(), requests.append), "control_plane"),
+            RecordingTransport())
         connection.connection_made(transport)
         path = b"/api/evacuation/za HTTP/1.1\r\n"
         connection.data_received(b"POST " + path + b"\r\nDELETE " + path + b"Expect: 100-continue\r\n\r\n")
-        assert [request.call for request in requests] == [find("control_plane", "POST", "/api/evacuation/za")[0]]
+        assert [request.call for request in requests] == [find_call("control_plane", "POST", "/api/evacuation/za")[0]]
         assert not transport.written    # a "100 Continue" now would pass for the answer to the first call
         requests[0].answer(Reply(200, {"first": 1}))
         requests[0].answer(Reply(503))  # ignored: a call is answered once
@@ -156,5 +157,5 @@
         connection.data_received(b"GET /api/status HTTP/1.1\r\n\r\n")
         connection.connection_lost(None)
         requests[1].answer(Reply(200, {"second": 2}))
-        assert requests[1].gone and len(requests) == 2 and b"second" not in transport.written
+        assert requests[1].is_abandoned and len(requests) == 2 and b"second" not in transport.written
     asyncio.run(run())
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -93,8 +93,8 @@
                 assert line.endswith("200 OK") and "x-t" not in fields and "link" not in fields
                 assert await read_body(reader, fields) == BODY
             writer.close()
-            await until(lambda: not harness.ingress.host.tickets)
-            assert harness.ingress.budget.used == harness.ingress.budget.flows == 0
+            await until(lambda: not harness.ingress.host.open_requests)
+            assert harness.ingress.budget.used_bytes == harness.ingress.budget.streams == 0
 
     run(scenario())
 
@@ -137,8 +137,8 @@
                 await asyncio.wait_for(read_body(reader, fields), 3.0)
             assert len(seen) == 1       # a response that has begun is not retried on the other backend
             writer.close()
-            await until(lambda: not harness.ingress.host.tickets and not harness.ingress.server.connections)
-            assert harness.ingress.budget.used == harness.ingress.budget.flows == 0
+            await until(lambda: not harness.ingress.host.open_requests and not harness.ingress.server.connections)
+            assert harness.ingress.budget.used_bytes == harness.ingress.budget.streams == 0
 
     run(scenario())
 
@@ -191,7 +191,7 @@
             await until(lambda: len(harness.ingress.server.streaming) == 8)
             await until(lambda: all(c.is_write_paused for c in harness.ingress.server.streaming))
             budget = harness.ingress.budget
-            assert budget.used <= 8 * (body_buffering.MOST_MARK + body_buffering.READ + 64)
+            assert budget.used_bytes <= 8 * (body_buffering.MAX_HIGH_WATER_BYTES + body_buffering.READ_BYTES + 64)
             reader, writer = await harness.connect()
             started_at = time.monotonic()
             writer.write(request())
@@ -200,15 +200,15 @@
             assert len(await read_body(stalled[0][0], fields)) == size    # resumes when the client reads again
             for _, other in (*stalled, (reader, writer)):
                 other.close()
-            await until(lambda: not harness.ingress.host.tickets and not harness.ingress.backends.connecting)
-            assert budget.used == budget.flows == 0
+            await until(lambda: not harness.ingress.host.open_requests and not harness.ingress.backends.connect_tasks)
+            assert budget.used_bytes == budget.streams == 0
 
     run(scenario())
 
 
 def test_client_that_reads_nothing_for_long_is_disconnected(monkeypatch):
     async def scenario() -> None:
-        monkeypatch.setattr("fennelpoint.net.server.STOPPED", 0.5)
+        monkeypatch.setattr("fennelpoint.net.server.BODY_STALL_TIMEOUT_S", 0.5)
         response = STATUS_LINE + b"Content-Length: %d\r\n\r\n" % (24 * MB) + bytes(24 * MB)
         async with world(Backend(lambda *_: response)) as harness:
             reader, writer = await harness.connect()
@@ -216,7 +216,7 @@
             writer.write(request(left=60_000))
             await until(lambda: harness.ingress.server.streaming)
             await until(lambda: not harness.ingress.server.connections, 5.0)
-            await until(lambda: not harness.ingress.host.tickets and not harness.ingress.backends.all)
+            await until(lambda: not harness.ingress.host.open_requests and not harness.ingress.backends.all)
             writer.close()
 
     run(scenario())
@@ -229,8 +229,8 @@
             reader._limit = 64 * 1024
             writer.write(request())
             line, fields = await read_head(reader)
-            harness.ingress.life.handle(Event.DRAIN, time.monotonic())
-            harness.ingress.look()
+            harness.ingress.life_cycle.handle(Event.DRAIN, time.monotonic())
+            harness.ingress.check_shutdown()
             received = b""
             while len(received) < len(BODY):
                 received += await reader.readexactly(min(256 * 1024, len(BODY) - len(received)))
@@ -249,7 +249,8 @@
 }
 
 
-@pytest.mark.parametrize("size", [100, 65_537, body_buffering.MOST_HELD - 1, body_buffering.MOST_HELD, MB, 3 * MB])
+@pytest.mark.parametrize("size", [100, 65_537, body_buffering.MAX_UPLOAD_BUFFER_BYTES - 1,
+                                  body_buffering.MAX_UPLOAD_BUFFER_BYTES, MB, 3 * MB])
 @pytest.mark.parametrize("form", UPLOADS)
 def test_bodies_of_any_size_and_framing_reach_the_backend_unchanged(form, size):
     async def scenario() -> None:
@@ -263,8 +264,8 @@
             assert backend.seen == [BODY[:size]] * 2
             assert all("x-lane" in fields and fields["x-lane"] == "book" for fields in backend.heads)
             writer.close()
-            await until(lambda: not harness.ingress.host.tickets)
-            assert harness.ingress.budget.used == harness.ingress.budget.flows == 0
+            await until(lambda: not harness.ingress.host.open_requests)
+            assert harness.ingress.budget.used_bytes == harness.ingress.budget.streams == 0
 
     run(scenario())
 
@@ -278,7 +279,7 @@
             reader, writer = await harness.connect()
             writer.write(request("book", body, left=60_000))
             await until(lambda: any(c.is_read_paused for c in harness.ingress.server.connections))
-            assert harness.ingress.budget.used <= 2 * body_buffering.MOST_HELD
+            assert harness.ingress.budget.used_bytes <= 2 * body_buffering.MAX_UPLOAD_BUFFER_BYTES
             backend.may_read.set()
             line, _, answer = await read_message(reader)
             assert line.endswith("200 OK") and answer == b"%d" % len(body) and backend.seen == [body]
@@ -320,17 +321,17 @@
 
 def test_stalled_upload_gets_408_and_never_completes_at_the_backend(monkeypatch):
     async def scenario() -> None:
-        monkeypatch.setattr(body_buffering, "GRACE", 0.3)
-        monkeypatch.setattr(body_buffering, "RATE", 4e6)
+        monkeypatch.setattr(body_buffering, "PACE_GRACE_S", 0.3)
+        monkeypatch.setattr(body_buffering, "MIN_BYTES_PER_S", 4e6)
         backend = UploadBackend()
         async with world(backend) as harness:
             reader, writer = await harness.connect()
             writer.write(request("book", BODY, left=60_000)[:MB])
             assert (await asyncio.wait_for(reader.read(), 5.0)).startswith(b"HTTP/1.1 408")
             writer.close()
-            await until(lambda: backend.heads and not harness.ingress.host.tickets)
+            await until(lambda: backend.heads and not harness.ingress.host.open_requests)
             await until(lambda: not harness.ingress.server.connections and not harness.ingress.backends.all)
-            assert not backend.seen and harness.ingress.budget.used == harness.ingress.budget.flows == 0
+            assert not backend.seen and harness.ingress.budget.used_bytes == harness.ingress.budget.streams == 0
             assert harness.ingress.host.controller.fleet.in_flight == 0
 
     run(scenario())
@@ -344,7 +345,7 @@
             writer.write(request("book", BODY, left=60_000)[:MB])
             await until(lambda: backend.heads)
             writer.transport.abort()
-            await until(lambda: not harness.ingress.host.tickets and not harness.ingress.backends.all)
+            await until(lambda: not harness.ingress.host.open_requests and not harness.ingress.backends.all)
             assert not backend.seen and harness.ingress.host.controller.fleet.in_flight == 0
 
     run(scenario())
@@ -401,7 +402,7 @@
             writer.write(data[MB:])
             writer.write(b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n")
             assert (await read_message(reader))[2] == b"ready\n"
-            assert harness.ingress.budget.used == 0
+            assert harness.ingress.budget.used_bytes == 0
             writer.close()
 
     run(scenario())
@@ -428,15 +429,15 @@
 
 def test_endless_body_gets_413(monkeypatch):
     async def scenario() -> None:
-        monkeypatch.setattr("fennelpoint.net.server.MOST", 2 * MB)
+        monkeypatch.setattr("fennelpoint.net.server.MAX_BODY_BYTES", 2 * MB)
         backend = UploadBackend()
         async with world(backend) as harness:
             reader, writer = await harness.connect()
             writer.write(request("book", chunked(BODY, 9999), left=5000, Transfer_Encoding="chunked"))
             assert (await read_message(reader))[0].split()[1] == "413"
             writer.close()
-            await until(lambda: not harness.ingress.host.tickets)
-            assert not backend.seen and harness.ingress.budget.used == 0
+            await until(lambda: not harness.ingress.host.open_requests)
+            assert not backend.seen and harness.ingress.budget.used_bytes == 0
 
     run(scenario())
 
@@ -572,7 +573,8 @@
             for _ in range(16):
                 assert await reader.readexactly(16 * 1024) == bytes(16 * 1024)
                 await asyncio.sleep(0.25)
-            assert sent_megabytes[0] < 32 and harness.ingress.budget.used <= body_buffering.MOST_MARK + 256 * 1024
+            assert sent_megabytes[0] < 32 and (
+                harness.ingress.budget.used_bytes <= body_buffering.MAX_HIGH_WATER_BYTES + 256 * 1024)
             writer.close()
 
     run(scenario(), 30.0)
