--- a/benchmarks/fleet_record.py
+++ b/benchmarks/fleet_record.py
@@ -80,7 +80,7 @@
             took = await rig.until_forced(number, 60.0)
             print(f"version {number} in force {took:.1f} s after its offer (licence 3 s)")
         view = await rig.view()
-        print(f"record of {len(json.dumps(view.fleet.value()))} bytes")
+        print(f"record of {len(json.dumps(view.fleet.to_dict()))} bytes")
 
 
 async def against_the_observer(requests: int) -> None:
@@ -119,7 +119,7 @@
           f"{statistics.median(lasts):.2f} s (most {max(lasts):.2f}), in force after "
           f"{statistics.median(force):.2f} (most {max(force):.2f}), "
           f"{made.counts['calls'] / 180.0:.0f} calls a second a keeper, record "
-          f"{len(json.dumps(made.fleet.value()))} bytes, {len(broken)} checks broken")
+          f"{len(json.dumps(made.fleet.to_dict()))} bytes, {len(broken)} checks broken")
 
 
 if __name__ == "__main__":
--- a/fennelpoint/fleet/queries.py
+++ b/fennelpoint/fleet/queries.py
@@ -71,7 +71,7 @@
                 old = reports.get((report["name"], report["life"]))
                 if old is None or report["age"] < old["age"]:
                     reports[report["name"], report["life"]] = report
-        return FleetView(state.read(latest["fleet"]) if latest is not None else None,
+        return FleetView(state.parse(latest["fleet"]) if latest is not None else None,
                          latest["revision"] if latest is not None else 0, tuple(reports.values()), coordinators,
                          latest["held"] if latest is not None else "")
 
@@ -151,7 +151,7 @@
 def status_value(view: FleetView) -> dict:
     """The same information as `status_lines`, as a JSON value."""
     fleet = view.fleet
-    return {"revision": view.revision, "fleet": fleet.value() if fleet else None, "held": view.hold_reason,
+    return {"revision": view.revision, "fleet": fleet.to_dict() if fleet else None, "held": view.hold_reason,
             "keepers": view.coordinators, "ingresses": [
                 {**report, "stand": process_status(report, fleet)} for report in view.reports] if fleet else []}
 
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -100,7 +100,7 @@
 
 
 def test_old_spans_are_summarized_into_the_versions_that_are_possible(tmp_path, monkeypatch):
-    monkeypatch.setattr(store, "MOST_SPANS", 20)
+    monkeypatch.setattr(store, "MAX_SPANS_PER_INGRESS", 20)
     coordinator_store = store.Store(tmp_path, "k0")
     log = SpanLog("n0", "a", 0, "z0")
     for second in range(50):
