--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -464,7 +464,7 @@
                 case StartServing():
                     self.ingress.life_cycle.handle(Event.ADMIT, time.monotonic())
                     self.ingress.host.post(api.Barred(False))
-                    self._begin_span(self.lease.active_version, f"lease from {action.reason}")
+                    self._begin_span(self.lease.active_version, f"licensed by {action.reason}")
                     log.info("admitted", ingress=self.name, version=self.lease.active_version, by=action.reason)
                 case LogLine():
                     (log.error if action.is_error else log.info)("fleet", ingress=self.name, why=action.text)
