--- a/benchmarks/fleet_record.py
+++ b/benchmarks/fleet_record.py
@@ -21,7 +21,7 @@
 from describing import paths
 from ingress import QUOTAS, cpu_seconds, fast, load, templates
 
-from fennelpoint.fleet.audit import at_time
+from fennelpoint.fleet.audit import versions_at
 from fennelpoint.testing import SETTINGS, Count, List, member
 from fennelpoint.testing.fleet_simulation import FleetWorld
 from fennelpoint.testing.fleet_simulation import Settings as WorldSettings
@@ -80,7 +80,7 @@
             took = await rig.until_forced(number, 60.0)
             print(f"version {number} in force {took:.1f} s after its offer (licence 3 s)")
         view = await rig.view()
-        print(f"record of {len(json.dumps(view.fleet.value()))} bytes")
+        print(f"record of {len(json.dumps(view.fleet.to_dict()))} bytes")
 
 
 async def against_the_observer(requests: int) -> None:
@@ -100,8 +100,8 @@
         spans = await rig.fleet.spans()
         wrong = unknown = 0
         for arrival in rig.seen.arrivals[:requests]:
-            answer = at_time(spans, arrival.ingress, (arrival.at + offset, arrival.at + offset))
-            unknown += not answer.sure
+            answer = versions_at(spans, arrival.ingress, (arrival.at + offset, arrival.at + offset))
+            unknown += not answer.is_certain
             wrong += rig.seen.version(arrival) not in answer.versions and not answer.unknown
         print(f"audit: {requests} requests over {version} versions, one ingress shut out: {wrong} wrong, {unknown} "
               f"not sure ({unknown / requests:.2%}), {len(spans)} spans")
@@ -119,7 +119,7 @@
           f"{statistics.median(lasts):.2f} s (most {max(lasts):.2f}), in force after "
           f"{statistics.median(force):.2f} (most {max(force):.2f}), "
           f"{made.counts['calls'] / 180.0:.0f} calls a second a keeper, record "
-          f"{len(json.dumps(made.fleet.value()))} bytes, {len(broken)} checks broken")
+          f"{len(json.dumps(made.fleet.to_dict()))} bytes, {len(broken)} checks broken")
 
 
 if __name__ == "__main__":
--- a/fennelpoint/components.py
+++ b/fennelpoint/components.py
@@ -70,9 +70,9 @@
     """A lease on the fleet's version, if the operator file has a fleet section."""
     if ingress.config.operator is None or (section := ingress.config.operator.fleet) is None:
         return None
-    from fennelpoint.fleet.component import FleetPart
+    from fennelpoint.fleet.component import FleetComponent
 
-    return FleetPart(ingress, section)
+    return FleetComponent(ingress, section)
 
 
 FACTORIES: dict[str, Callable[[IngressContext], Component | None]] = {
--- a/fennelpoint/testing/core_simulation.py
+++ b/fennelpoint/testing/core_simulation.py
@@ -17,7 +17,7 @@
 from random import Random
 
 from fennelpoint.fleet.register import Acceptor
-from fennelpoint.fleet.store import making_room
+from fennelpoint.fleet.store import contents_to_evict
 from fennelpoint.system.actions import Send, Violation
 from fennelpoint.system.frames import Unpacker, pack
 from fennelpoint.system.http_server import ApiRequest, Reply
@@ -206,7 +206,8 @@
                     core.saved_acceptor = acceptor
                 case store_replica.SaveContent(digest, data, needed):
                     core.contents[digest] = data
-                    for evicted in making_room([(d, len(c)) for d, c in core.contents.items()], {*needed, digest}):
+                    for evicted in contents_to_evict(
+                            [(d, len(c)) for d, c in core.contents.items()], {*needed, digest}):
                         del core.contents[evicted]
 
     def _run_registry_actions(self, core: CoreMachine, actions: list) -> None:
