--- a/fennelpoint/cells/service.py
+++ b/fennelpoint/cells/service.py
@@ -98,8 +98,8 @@
             return
         before, self.assignment = self.assignment, Assignment(plan)
         # Those that neither plan names, too, where they asked lately: what waits of them goes along.
-        customers = (before.listed.keys() | self.assignment.listed.keys() | before.found.keys()
-                     | self.moves.open.keys())
+        customers = (before.listed_agencies.keys() | self.assignment.listed_agencies.keys()
+                     | before.hashed_agencies.keys() | self.moves.open.keys())
         changes = {c: (old, new) for c in customers
                    if (old := before.cell_of(c)) != (new := self.assignment.cell_of(c))}
         now = self.moves.want(changes, plan.version, self.assignment.members(self.nodes.values()))
--- a/fennelpoint/cli.py
+++ b/fennelpoint/cli.py
@@ -118,7 +118,7 @@
 def cells_show(file: str, nodes: str, as_json: bool) -> None:
     """The cells of a plan, and which of these nodes each has."""
     from fennelpoint.cells import Node
-    from fennelpoint.cells.assign import overlap
+    from fennelpoint.cells.assign import overlap_histogram
 
     made = _assignment(file)
     words = [word.strip() for word in nodes.split(",") if word.strip()]
@@ -127,9 +127,9 @@
         return click.echo(json.dumps({"version": made.plan.version, "cells": {
             name: sorted(ids) for name, ids in members.items()}}, indent=2))
     click.echo(f"version {made.plan.version}, {len(members)} cells")
-    for name in made.names:
+    for name in made.cell_names:
         click.echo(f"{name}: {', '.join(sorted(members[name])) or 'none of these nodes'}")
-    for shared, pairs in sorted(overlap(members).items()):
+    for shared, pairs in sorted(overlap_histogram(members).items()):
         if shared:
             click.echo(f"{pairs} pairs of cells share {shared} nodes")
 
@@ -140,7 +140,7 @@
 def cells_explain(file: str, agency: str) -> None:
     """Which cell an agency (its 16 digits) is in, and why."""
     made, customer = _assignment(file), int(_agency(agency), 16)
-    click.echo(f"{agency} is in {made.cell_of(customer)}: {made.why(customer)}")
+    click.echo(f"{agency} is in {made.cell_of(customer)}: {made.explain(customer)}")
     for cell in made.plan.cells:
         if cell.name == made.cell_of(customer) and cell.spill_to:
             click.echo(f"while that has no node left, up to {cell.spill_share:g} of the attempts of "
