--- a/fennelpoint/cli.py
+++ b/fennelpoint/cli.py
@@ -94,9 +94,9 @@
 
 
 def _agency(text: str) -> str:
-    from fennelpoint.cells.plan import AGENCY, MOST_CUSTOMER
+    from fennelpoint.cells.plan import AGENCY_ID_PATTERN, CUSTOMER_ID_LIMIT
 
-    if AGENCY.fullmatch(text) is None or int(text, 16) >= MOST_CUSTOMER:
+    if AGENCY_ID_PATTERN.fullmatch(text) is None or int(text, 16) >= CUSTOMER_ID_LIMIT:
         raise click.BadParameter(f"{text!r} is no agency: 16 hexadecimal digits, lower case, below 2^33")
     return text
 
@@ -149,7 +149,7 @@
 
 def _loads(file: str) -> dict[int, float]:
     """Units a second of each agency, by its 16 digits; raises FaultyFile."""
-    from fennelpoint.cells.plan import AGENCY
+    from fennelpoint.cells.plan import AGENCY_ID_PATTERN
 
     try:
         told = json.loads(Path(file).read_text())
@@ -158,7 +158,7 @@
     if not isinstance(told, dict):
         raise FaultyFile([Fault(file, 0, "", "it is not an object of agencies and their units a second")])
     faults = [Fault(file, 0, key, "it is no agency: 16 hexadecimal digits") for key in told
-              if AGENCY.fullmatch(key) is None]
+              if AGENCY_ID_PATTERN.fullmatch(key) is None]
     faults += [Fault(file, 0, key, f"{load!r} is no load: a number of 0 or more")
                for key, load in told.items()
                if isinstance(load, bool) or not isinstance(load, int | float) or not 0.0 <= load < 1e12]
