--- a/fennelpoint/cells/quarantine.py
+++ b/fennelpoint/cells/quarantine.py
@@ -1,10 +1,10 @@
-"""Agencies whose requests seem to kill nodes, seen by the pattern of deaths, and how long each is kept apart.
+"""Detects agencies whose requests seem to kill nodes, and quarantines them for a limited time.
 
-Pure.  A node has died when an attempt there broke off and soon after a connection to it failed, or the list
-says that it is gone.  Who had an attempt out there is a suspect.  How telling that is goes by how much of the
-time an agency is at a node anyway: a large one is at most of them, so its presence says little; who is absent
-at a death is cleared by it.  An accusation ends by itself, so a wrong one costs its agency a smaller cell for
-a while and nobody else anything.
+Has no side effects.  A node counts as dead if an attempt there broke off and soon afterwards a connection to it
+failed or the roster dropped it.  Agencies with an attempt in flight there are suspects.  How much a death weighs
+depends on how often an agency is at a node anyway: a large agency is at most nodes, so its presence is weak
+evidence; absence at a death counts in an agency's favour.  A quarantine expires by itself, so a wrong accusation
+costs the agency a smaller cell for a while and affects no other agency.
 """
 
 from __future__ import annotations
@@ -13,122 +13,137 @@
 from dataclasses import dataclass, field
 from math import exp, log
 
-BROKEN, LINGERS = 2.0, 0.5      # s from a break to the sign of death; s after its end that an attempt counts
-HIT = 0.9           # chance that a poisoner is at a node that dies, of its own doing
-ACCUSED, DEATHS = log(1000.0), 3    # evidence, and deaths with it there, that it takes
-HALF = 60.0         # s for evidence to fade by half
-PRESENCE = 0.1      # weight of a new sample in how much of the time an agency is at a node
-LEAST_CHANCE = 0.02     # that it is there anyway: what was seen of it is never all there is
-FIRST, LONGEST = 30.0, 600.0    # s apart, doubled each time
-MOST = 4096         # agencies remembered; the longest unseen are forgotten
+# A death shows within DEATH_DETECTION_S after the last break.  Agencies whose attempts broke off within
+# RECENT_BREAK_S before the last break count as present.
+DEATH_DETECTION_S, RECENT_BREAK_S = 2.0, 0.5
+CULPRIT_PRESENCE = 0.9      # probability that the agency that causes a death is at the node; the rest is chance
+ACCUSATION_EVIDENCE, MIN_DEATHS = log(1000.0), 3    # log likelihood ratio, and deaths with the agency present
+EVIDENCE_HALF_LIFE_S = 60.0
+PRESENCE_SMOOTHING = 0.1    # weight of a new sample in the moving average of an agency's presence
+MIN_PRESENCE = 0.02     # assumed of every agency, as the samples never show all of its presence
+FIRST_QUARANTINE_S, MAX_QUARANTINE_S = 30.0, 600.0      # doubled with each accusation
+MAX_RECORDS = 4096      # agencies; the least recently active are evicted, unless quarantined
 
 
 @dataclass(slots=True)
-class Record:
-    """What is held for or against an agency."""
-
-    presence: float = 0.0   # nodes it is at, of all, as a mean
-    evidence: float = 0.0   # log of how much likelier the deaths are if it causes them
-    deaths: int = 0         # with it there
-    at: float = 0.0         # when this was last brought up to date
-    times: int = 0          # accused so far
-    until: float = 0.0      # apart until then
-
-    def fade(self, now: float) -> None:
-        left = 0.5 ** ((now - self.at) / HALF)
-        self.evidence, self.at = self.evidence * left, now
+class AgencyRecord:
+    """The evidence for or against an agency."""
+
+    presence: float = 0.0   # fraction of the nodes with its attempts in flight, as a moving average
+    evidence: float = 0.0   # log of how much likelier the deaths are if the agency causes them
+    deaths: int = 0         # with the agency present
+    updated_at: float = 0.0
+    accusations: int = 0
+    quarantined_until: float = 0.0
+
+    def decay(self, now: float) -> None:
+        remaining = 0.5 ** ((now - self.updated_at) / EVIDENCE_HALF_LIFE_S)
+        self.evidence, self.updated_at = self.evidence * remaining, now
         if abs(self.evidence) < 0.1:
             self.deaths = 0
 
 
 @dataclass(slots=True)
-class Seen:
-    """A node: who is there, who was until lately, and when an attempt last broke off."""
+class NodeActivity:
+    """The attempts in flight at a node, and those that recently broke off."""
 
-    out: dict[int, int] = field(default_factory=dict)   # attempts, by agency
-    left: deque[tuple[float, int]] = field(default_factory=deque)
-    broke_at: float = -1e9
-    dead: bool = False
+    in_flight: dict[int, int] = field(default_factory=dict)     # attempts by agency
+    recent_breaks: deque[tuple[float, int]] = field(default_factory=deque)      # time and agency
+    last_break_at: float = -1e9
+    is_dead: bool = False
 
 
-class Poison:
-    """Give it what is sent and how it ends; `apart` tells who is kept apart at a time."""
+class PoisonDetector:
+    """Learns from the attempts sent and their outcomes; `is_quarantined` gives its verdict on an agency."""
 
     def __init__(self) -> None:
-        self.nodes: dict[str, Seen] = {}
-        self.records: dict[int, Record] = {}    # the longest unseen first
+        self.nodes: dict[str, NodeActivity] = {}
+        self.records: dict[int, AgencyRecord] = {}      # the least recently active first
 
-    def _record(self, agency: int, now: float) -> Record:
-        record = self.records.pop(agency, None) or Record(at=now)
+    def _record(self, agency: int, now: float) -> AgencyRecord:
+        record = self.records.pop(agency, None) or AgencyRecord(updated_at=now)
         self.records[agency] = record
-        if len(self.records) > MOST:
-            idle = next((a for a, r in self.records.items() if r.until <= now), None)
+        if len(self.records) > MAX_RECORDS:
+            idle = next((a for a, r in self.records.items() if r.quarantined_until <= now), None)
             if idle is not None:
                 del self.records[idle]
         return record
 
-    def sent(self, agency: int, node: str, now: float) -> None:
-        seen = self.nodes.setdefault(node, Seen())
-        seen.out[agency] = seen.out.get(agency, 0) + 1
-        seen.dead = False
+    def attempt_sent(self, agency: int, node: str, now: float) -> None:
+        activity = self.nodes.setdefault(node, NodeActivity())
+        activity.in_flight[agency] = activity.in_flight.get(agency, 0) + 1
+        activity.is_dead = False
         record = self._record(agency, now)
-        at = sum(agency in other.out for other in self.nodes.values()) / max(1, len(self.nodes))
-        record.presence += PRESENCE * (at - record.presence)
+        presence = sum(agency in other.in_flight for other in self.nodes.values()) / max(1, len(self.nodes))
+        record.presence += PRESENCE_SMOOTHING * (presence - record.presence)
 
-    def ended(self, agency: int, node: str, broke: bool, unreachable: bool, now: float) -> list[int]:
-        """An attempt's end: it broke off, or the node could not be reached.  Who is accused by it."""
-        if (seen := self.nodes.get(node)) is None:
+    def attempt_ended(self, agency: int, node: str, broke_off: bool, is_unreachable: bool, now: float) -> list[int]:
+        """Record the end of an attempt, and return the agencies accused because of it.
+
+        `broke_off` says that its connection broke, `is_unreachable` that no connection to the node could be opened.
+        """
+        if (activity := self.nodes.get(node)) is None:
             return []
-        if (left := seen.out.get(agency, 0) - 1) > 0:
-            seen.out[agency] = left
+        if (remaining := activity.in_flight.get(agency, 0) - 1) > 0:
+            activity.in_flight[agency] = remaining
         else:
-            seen.out.pop(agency, None)
-        if broke:
-            seen.broke_at = now
-            seen.left.append((now, agency))
-        while seen.left and seen.left[0][0] < now - BROKEN - LINGERS:
-            seen.left.popleft()
-        return self.died(node, now) if unreachable and now - seen.broke_at <= BROKEN else []
-
-    def died(self, node: str, now: float) -> list[int]:
-        """A node is dead, once for each time it is sent to; who is accused now."""
-        seen = self.nodes.get(node)
-        if seen is None or seen.dead:
+            activity.in_flight.pop(agency, None)
+        if broke_off:
+            activity.last_break_at = now
+            activity.recent_breaks.append((now, agency))
+        while activity.recent_breaks and activity.recent_breaks[0][0] < now - DEATH_DETECTION_S - RECENT_BREAK_S:
+            activity.recent_breaks.popleft()
+        return (self.node_died(node, now)
+                if is_unreachable and now - activity.last_break_at <= DEATH_DETECTION_S else [])
+
+    def node_died(self, node: str, now: float) -> list[int]:
+        """Record the death of a node, and return the agencies accused because of it.
+
+        A death counts once, until the next attempt is sent to the node.
+        """
+        activity = self.nodes.get(node)
+        if activity is None or activity.is_dead:
             return []
-        seen.dead = True
-        there = set(seen.out) | {agency for at, agency in seen.left if seen.broke_at - LINGERS <= at}
+        activity.is_dead = True
+        present = set(activity.in_flight) | {agency for broke_at, agency in activity.recent_breaks
+                                             if activity.last_break_at - RECENT_BREAK_S <= broke_at}
         accused = []
         for agency, record in self.records.items():
-            record.fade(now)
-            chance = min(HIT, max(LEAST_CHANCE, record.presence))
-            if agency in there:
-                record.evidence += log(HIT / chance)
+            record.decay(now)
+            chance = min(CULPRIT_PRESENCE, max(MIN_PRESENCE, record.presence))
+            if agency in present:
+                record.evidence += log(CULPRIT_PRESENCE / chance)
                 record.deaths += 1
             else:
-                record.evidence = max(0.0, record.evidence + log((1.0 - HIT) / (1.0 - chance)))
-            if record.evidence >= ACCUSED and record.deaths >= DEATHS and record.until <= now:
-                record.until = now + min(LONGEST, FIRST * 2.0 ** record.times)
-                record.times += 1
+                record.evidence = max(0.0, record.evidence + log((1.0 - CULPRIT_PRESENCE) / (1.0 - chance)))
+            if (record.evidence >= ACCUSATION_EVIDENCE and record.deaths >= MIN_DEATHS
+                    and record.quarantined_until <= now):
+                record.quarantined_until = now + min(MAX_QUARANTINE_S, FIRST_QUARANTINE_S * 2.0 ** record.accusations)
+                record.accusations += 1
                 record.evidence, record.deaths = 0.0, 0
                 accused.append(agency)
         return accused
 
-    def gone(self, node: str, now: float) -> list[int]:
-        """The list names a node no more; it counts as dead if something broke off there just before."""
-        seen = self.nodes.get(node)
-        accused = self.died(node, now) if seen is not None and now - seen.broke_at <= BROKEN else []
+    def node_removed(self, node: str, now: float) -> list[int]:
+        """Handle a node that left the roster; it counts as dead if an attempt broke off there just before.
+
+        Returns the agencies accused because of it.
+        """
+        activity = self.nodes.get(node)
+        accused = (self.node_died(node, now)
+                   if activity is not None and now - activity.last_break_at <= DEATH_DETECTION_S else [])
         self.nodes.pop(node, None)
         return accused
 
-    def apart(self, agency: int, now: float) -> bool:
+    def is_quarantined(self, agency: int, now: float) -> bool:
         record = self.records.get(agency)
-        return record is not None and now < record.until
+        return record is not None and now < record.quarantined_until
 
-    def why(self, agency: int, now: float) -> str:
-        """How an agency stands, in words."""
+    def explain(self, agency: int, now: float) -> str:
+        """Describe the evidence against an agency."""
         if (record := self.records.get(agency)) is None:
             return "nothing is held against it"
-        if now < record.until:
-            return f"kept apart for {record.until - now:.0f} s more, the {record.times}. time"
-        odds = exp(min(20.0, record.evidence * 0.5 ** ((now - record.at) / HALF)))
+        if now < record.quarantined_until:
+            return f"kept apart for {record.quarantined_until - now:.0f} s more, the {record.accusations}. time"
+        odds = exp(min(20.0, record.evidence * 0.5 ** ((now - record.updated_at) / EVIDENCE_HALF_LIFE_S)))
         return f"{record.deaths} deaths with it there, {odds:.0f} times likelier if it causes them"
--- a/fennelpoint/cells/service.py
+++ b/fennelpoint/cells/service.py
@@ -9,7 +9,7 @@
 from fennelpoint.cells.assign import Assignment, Node
 from fennelpoint.cells.moves import Moves
 from fennelpoint.cells.plan import Plan, check_change, read_plan
-from fennelpoint.cells.quarantine import Poison
+from fennelpoint.cells.quarantine import PoisonDetector
 from fennelpoint.component import Component
 from fennelpoint.rate_limited_log import log
 from fennelpoint.validation_errors import FaultyFile
@@ -23,26 +23,26 @@
         self.assignment = Assignment(plan)
         self.nodes: dict[str, Node] = {}
         self.told: dict[str, frozenset[str]] = {}
-        self.poison, self.moves = Poison(), Moves()
+        self.poison_detector, self.moves = PoisonDetector(), Moves()
         self.ruled = 0      # the fleet's version that holds the plan; 0: its file does
 
     def cell_of(self, customer: int) -> str:
         jail = self.assignment.plan.quarantine
-        if jail and self.poison.apart(customer, time.monotonic()):
+        if jail and self.poison_detector.is_quarantined(customer, time.monotonic()):
             return jail
         return self.moves.cell_of(customer, self.assignment.cell_of(customer))
 
     def sent(self, customer: int, node: str) -> None:
         self.moves.sent(customer, node)
         if self.assignment.plan.quarantine:
-            self.poison.sent(customer, node, time.monotonic())
+            self.poison_detector.attempt_sent(customer, node, time.monotonic())
 
     def ended(self, customer: int, node: str, status: api.Status) -> None:
         """An attempt's end: a node that dies of it shows by a break, and by connects that fail."""
         self.moves.ended(customer, node)
         if self.assignment.plan.quarantine:
-            self._accuse(self.poison.ended(customer, node, status is api.Status.RESET,
-                                           status is api.Status.CONNECT_FAILED, time.monotonic()))
+            self._accuse(self.poison_detector.attempt_ended(customer, node, status is api.Status.RESET,
+                                                           status is api.Status.CONNECT_FAILED, time.monotonic()))
 
     def _accuse(self, customers: list[int]) -> None:
         """Into quarantine, with what waits of them; it ends by itself."""
@@ -50,7 +50,7 @@
             jail, now = self.assignment.plan.quarantine, time.monotonic()
             for customer in customers:
                 log.warning("agency %016x is kept in %s: nodes died with its requests (%s)", customer, jail,
-                            self.poison.why(customer, now))
+                            self.poison_detector.explain(customer, now))
             self._tell(dict.fromkeys(customers, jail), anew=True)
 
     def follow(self, roster: api.Roster) -> None:
@@ -66,7 +66,7 @@
                 self.nodes[entry.backend] = Node(entry.backend, zone)
         if self.assignment.plan.quarantine:
             for node in before - set(self.nodes):
-                self._accuse(self.poison.gone(node, time.monotonic()))
+                self._accuse(self.poison_detector.node_removed(node, time.monotonic()))
         members = self.assignment.members(self.nodes.values()) if self.moves.open else {}
         if begun := self.moves.follow(members):
             log.info("nodes came: %d planned moves begin (%s)", len(begun), self.moves.said())
