--- a/fennelpoint/cells/moves.py
+++ b/fennelpoint/cells/moves.py
@@ -1,11 +1,12 @@
-"""Moves of agencies from cell to cell, as states of their own.  Pure: the plan's changes and attempts in.
+"""Tracks moves of agencies between cells as a state machine, driven by plan changes and attempts.
 
-    planned    the target has no node here yet: new tries stay in the source
-    draining   new tries go to the target, attempts that were out when it began finish where they are
-    moved      none of those is out any more
-    aborted    a newer plan put the agency elsewhere before it was moved
+    planned    the target has no node here yet: new requests stay in the source
+    draining   new requests go to the target; attempts in flight when it began finish where they are
+    moved      none of those attempts is in flight any more
+    aborted    a newer plan reassigned the agency before it was moved
 
-Each ingress goes by its own roster and plan.  They may differ for seconds; no rule rests on that.
+Has no side effects.  Each ingress uses its own roster and plan; these may differ between ingresses for seconds,
+and no rule relies on their agreement.
 """
 
 from __future__ import annotations
@@ -16,107 +17,114 @@
 from enum import Enum
 
 
-class State(Enum):
+class MoveState(Enum):
     PLANNED = "planned"
     DRAINING = "draining"
     MOVED = "moved"
     ABORTED = "aborted"
 
 
-LEGAL = {State.PLANNED: {State.DRAINING, State.ABORTED}, State.DRAINING: {State.MOVED, State.ABORTED},
-         State.MOVED: set(), State.ABORTED: set()}
+ALLOWED_TRANSITIONS = {MoveState.PLANNED: {MoveState.DRAINING, MoveState.ABORTED},
+                       MoveState.DRAINING: {MoveState.MOVED, MoveState.ABORTED},
+                       MoveState.MOVED: set(), MoveState.ABORTED: set()}
 
 
-class IllegalMove(Exception):
-    """A state that does not follow from the one before."""
+class IllegalMoveTransition(Exception):
+    """The state does not follow from the previous one."""
 
 
 @dataclass(slots=True, eq=False)
 class Move:
+    """One agency's move from a source cell to a target cell."""
+
     agency: int
     source: str
     target: str
-    version: int        # of the plan that wants it
-    state: State = State.PLANNED
-    left: int = 0       # attempts that were out when it began, and still are
+    version: int        # of the plan that requires it
+    state: MoveState = MoveState.PLANNED
+    remaining: int = 0      # attempts in flight since before the move began
 
-    def go(self, state: State) -> None:
-        if state not in LEGAL[self.state]:
-            raise IllegalMove(f"agency {self.agency:016x}: {self.state.value} to {state.value}")
+    def transition_to(self, state: MoveState) -> None:
+        if state not in ALLOWED_TRANSITIONS[self.state]:
+            raise IllegalMoveTransition(f"agency {self.agency:016x}: {self.state.value} to {state.value}")
         self.state = state
 
 
-class Moves:
-    """The moves that are open, and the attempts of every agency that are out."""
+class MoveTracker:
+    """Tracks the moves that have not ended and every agency's attempts in flight."""
 
     def __init__(self) -> None:
         self.open: dict[int, Move] = {}
-        self.out: dict[int, Counter[str]] = {}      # by agency and node
-        self.counts: Counter[State] = Counter()     # of moves that ended
+        self.in_flight: dict[int, Counter[str]] = {}    # attempts by agency and node
+        self.ended_counts: Counter[MoveState] = Counter()   # ended moves by final state
 
-    def cell_of(self, agency: int, planned: str) -> str:
-        """Where an agency's new tries go now, whatever the plan wants."""
+    def cell_of(self, agency: int, planned_cell: str) -> str:
+        """Return the cell for an agency's new requests, given its cell in the plan."""
         move = self.open.get(agency)
-        return planned if move is None or move.state is not State.PLANNED else move.source
+        return planned_cell if move is None or move.state is not MoveState.PLANNED else move.source
 
-    def want(self, changes: Mapping[int, tuple[str, str]], version: int,
-             members: Mapping[str, frozenset[str]]) -> dict[int, str]:
-        """A newer plan: agencies with their cell before and after; those whose tries go elsewhere at once.
+    def apply_plan_changes(self, changes: Mapping[int, tuple[str, str]], version: int,
+                           members: Mapping[str, frozenset[str]]) -> dict[int, str]:
+        """Apply a newer plan, and return the new cell of each agency whose requests move at once.
 
-        An agency whose move is planned still is in its source, whatever the older plan said.
+        `changes` holds the previous and the new cell by agency.  An agency whose move is still planned starts
+        from that move's source, whatever the previous plan said.
         """
-        now: dict[int, str] = {}
+        moved: dict[int, str] = {}
         for agency, (source, target) in changes.items():
-            if (old := self.open.pop(agency, None)) is not None:
-                source = old.source if old.state is State.PLANNED else old.target
-                self._end(old, State.ABORTED)
+            if (previous := self.open.pop(agency, None)) is not None:
+                source = previous.source if previous.state is MoveState.PLANNED else previous.target
+                self._end(previous, MoveState.ABORTED)
             if source == target:
                 continue
             move = self.open[agency] = Move(agency, source, target, version)
-            # A source without nodes holds nobody back: a refusal is all that it has.
+            # A source without nodes does not delay the move, as it could only refuse the requests.
             if members.get(target) or not members.get(source):
                 self._begin(move)
-                now[agency] = target
-        return now
+                moved[agency] = target
+        return moved
 
-    def follow(self, members: Mapping[str, frozenset[str]]) -> dict[int, str]:
-        """Nodes came or went: the agencies whose planned move begins now."""
-        ready = [m for m in self.open.values() if m.state is State.PLANNED
+    def update_members(self, members: Mapping[str, frozenset[str]]) -> dict[int, str]:
+        """Handle changed cell members, and return the target of each agency whose planned move begins now."""
+        ready = [m for m in self.open.values() if m.state is MoveState.PLANNED
                  and (members.get(m.target) or not members.get(m.source))]
         for move in ready:
             self._begin(move)
         return {move.agency: move.target for move in ready}
 
-    def sent(self, agency: int, node: str) -> None:
-        self.out.setdefault(agency, Counter())[node] += 1
+    def attempt_sent(self, agency: int, node: str) -> None:
+        self.in_flight.setdefault(agency, Counter())[node] += 1
+
+    def attempt_ended(self, agency: int, node: str) -> None:
+        """Record the end of an attempt.
 
-    def ended(self, agency: int, node: str) -> None:
-        """An attempt's end.  Which of several at one node is not known: the oldest is taken to end last."""
-        if (out := self.out.get(agency)) is None or not out[node]:
+        Which of several attempts at one node ended is unknown; the oldest is assumed to end last.
+        """
+        if (by_node := self.in_flight.get(agency)) is None or not by_node[node]:
             return
-        out[node] -= 1
-        if not out[node]:
-            del out[node]
-        if not out:
-            del self.out[agency]
-        if (move := self.open.get(agency)) is not None and move.state is State.DRAINING:
-            move.left = min(move.left, sum(out.values()))
-            if not move.left:
+        by_node[node] -= 1
+        if not by_node[node]:
+            del by_node[node]
+        if not by_node:
+            del self.in_flight[agency]
+        if (move := self.open.get(agency)) is not None and move.state is MoveState.DRAINING:
+            move.remaining = min(move.remaining, sum(by_node.values()))
+            if not move.remaining:
                 del self.open[agency]
-                self._end(move, State.MOVED)
+                self._end(move, MoveState.MOVED)
 
     def _begin(self, move: Move) -> None:
-        move.go(State.DRAINING)
-        move.left = sum(self.out.get(move.agency, Counter()).values())
-        if not move.left:
+        move.transition_to(MoveState.DRAINING)
+        move.remaining = sum(self.in_flight.get(move.agency, Counter()).values())
+        if not move.remaining:
             del self.open[move.agency]
-            self._end(move, State.MOVED)
+            self._end(move, MoveState.MOVED)
 
-    def _end(self, move: Move, state: State) -> None:
-        move.go(state)
-        self.counts[state] += 1
+    def _end(self, move: Move, state: MoveState) -> None:
+        move.transition_to(state)
+        self.ended_counts[state] += 1
 
-    def said(self) -> str:
-        """How the moves stand, in a line."""
-        states = Counter(move.state for move in self.open.values()) + self.counts
-        return ", ".join(f"{states[state]} {state.value}" for state in State if states[state]) or "none"
+    def summary(self) -> str:
+        """Return the number of moves in each state, in one line."""
+        states = Counter(move.state for move in self.open.values()) + self.ended_counts
+        return ", ".join(f"{states[state]} {state.value}" for state in MoveState if states[state]) or "none"
--- a/fennelpoint/cells/service.py
+++ b/fennelpoint/cells/service.py
@@ -7,7 +7,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.cells.assign import Assignment, Node
-from fennelpoint.cells.moves import Moves
+from fennelpoint.cells.moves import MoveTracker
 from fennelpoint.cells.plan import Plan, check_change, read_plan
 from fennelpoint.cells.quarantine import PoisonDetector
 from fennelpoint.component import Component
@@ -23,7 +23,7 @@
         self.assignment = Assignment(plan)
         self.nodes: dict[str, Node] = {}
         self.told: dict[str, frozenset[str]] = {}
-        self.poison_detector, self.moves = PoisonDetector(), Moves()
+        self.poison_detector, self.moves = PoisonDetector(), MoveTracker()
         self.ruled = 0      # the fleet's version that holds the plan; 0: its file does
 
     def cell_of(self, customer: int) -> str:
@@ -33,13 +33,13 @@
         return self.moves.cell_of(customer, self.assignment.cell_of(customer))
 
     def sent(self, customer: int, node: str) -> None:
-        self.moves.sent(customer, node)
+        self.moves.attempt_sent(customer, node)
         if self.assignment.plan.quarantine:
             self.poison_detector.attempt_sent(customer, node, time.monotonic())
 
     def ended(self, customer: int, node: str, status: api.Status) -> None:
         """An attempt's end: a node that dies of it shows by a break, and by connects that fail."""
-        self.moves.ended(customer, node)
+        self.moves.attempt_ended(customer, node)
         if self.assignment.plan.quarantine:
             self._accuse(self.poison_detector.attempt_ended(customer, node, status is api.Status.RESET,
                                                            status is api.Status.CONNECT_FAILED, time.monotonic()))
@@ -68,8 +68,8 @@
             for node in before - set(self.nodes):
                 self._accuse(self.poison_detector.node_removed(node, time.monotonic()))
         members = self.assignment.members(self.nodes.values()) if self.moves.open else {}
-        if begun := self.moves.follow(members):
-            log.info("nodes came: %d planned moves begin (%s)", len(begun), self.moves.said())
+        if begun := self.moves.update_members(members):
+            log.info("nodes came: %d planned moves begin (%s)", len(begun), self.moves.summary())
         self._tell(begun, anew=bool(begun))
 
     def _tell(self, moved: dict[int, str], anew: bool = False) -> None:
@@ -102,7 +102,7 @@
                      | before.hashed_agencies.keys() | self.moves.open.keys())
         changes = {c: (old, new) for c in customers
                    if (old := before.cell_of(c)) != (new := self.assignment.cell_of(c))}
-        now = self.moves.want(changes, plan.version, self.assignment.members(self.nodes.values()))
+        now = self.moves.apply_plan_changes(changes, plan.version, self.assignment.members(self.nodes.values()))
         log.info("the cells go by version %d: %d agencies moved (%s)", plan.version, len(now),
-                 self.moves.said())
+                 self.moves.summary())
         self._tell(now, anew=True)
--- a/tests/cells/test_cells_serving.py
+++ b/tests/cells/test_cells_serving.py
@@ -178,14 +178,14 @@
             await until(lambda: len(cells.nodes) == 2)
             operator(tmp_path, version=2, east=())
             made.ingress.reload()
-            assert cells.cell_of(EAST) == "east" and cells.moves.said() == "1 planned"
+            assert cells.cell_of(EAST) == "east" and cells.moves.summary() == "1 planned"
             for _ in range(4):
                 assert (await ask(made, of(EAST)))[0].endswith("200 OK")
             assert not whom(nodes[2:])[0] | whom(nodes[2:])[1]
             made.list.tell(*west)
             await until(lambda: cells.cell_of(EAST) == "west")
             assert (await ask(made, of(EAST)))[0].endswith("200 OK")
-            assert whom(nodes[2:])[0] | whom(nodes[2:])[1] == {"11"} and cells.moves.said() == "1 moved"
+            assert whom(nodes[2:])[0] | whom(nodes[2:])[1] == {"11"} and cells.moves.summary() == "1 moved"
 
     run(play())
 
--- a/tests/cells/test_random_moves.py
+++ b/tests/cells/test_random_moves.py
@@ -16,7 +16,7 @@
 from fennelpoint import interface as api
 from fennelpoint.cells.assign import Assignment, Node
 from fennelpoint.cells.cell_controller import CelledController
-from fennelpoint.cells.moves import Moves
+from fennelpoint.cells.moves import MoveTracker
 from fennelpoint.cells.plan import CellSpec, Plan
 from fennelpoint.testing.ceilings import Exact
 
@@ -38,7 +38,8 @@
 
     def __init__(self, me: int, plan: Plan, now: float) -> None:
         settings = make_settings(me=me, ingresses=INGRESSES, plans=[DEAR], most_units=1.0, has_counter=False)
-        self.decider, self.moves, self.assignment = CelledController(settings, me, now), Moves(), Assignment(plan)
+        self.decider, self.moves, self.assignment = (
+            CelledController(settings, me, now), MoveTracker(), Assignment(plan))
         self.nodes: set[str] = set()
 
     def members(self) -> dict[str, frozenset[str]]:
@@ -54,7 +55,7 @@
         before, self.assignment = self.assignment, Assignment(plan)
         changes = {a: (before.cell_of(a), self.assignment.cell_of(a)) for a in range(1, AGENCIES + 1)
                    if before.cell_of(a) != self.assignment.cell_of(a)}
-        return self.cells(self.moves.want(changes, plan.version, self.members()))
+        return self.cells(self.moves.apply_plan_changes(changes, plan.version, self.members()))
 
 
 class Play:
@@ -126,7 +127,7 @@
     def roster(self, i: int) -> None:
         made = self.ingresses[i]
         made.nodes = set(self.up)
-        begun = made.moves.follow(made.members())
+        begun = made.moves.update_members(made.members())
         self.give(i, made.cells(begun))
         self.give(i, api.Roster(api.RosterKind.FULL, 1, [
             api.BackendEntry(n, api.BackendState.READY) for n in sorted(self.up)]))
@@ -159,7 +160,7 @@
         if send.backend not in CELLS[cell] and not self.tries[key]:
             self.astray.append((self.now, key, send.backend, cell))
         assert key not in self.out
-        made.moves.sent(agency, send.backend)
+        made.moves.attempt_sent(agency, send.backend)
         self.out[key] = send.backend, self.tries[key]
         self.tries[key] += 1
         if send.backend not in self.up:
@@ -174,7 +175,7 @@
         if key not in self.out or number and number != self.tries[key]:
             return      # it had ended with its node
         node, attempt = self.out.pop(key)
-        self.ingresses[i].moves.ended(self.asked[key][0], node)
+        self.ingresses[i].moves.attempt_ended(self.asked[key][0], node)
         self.answers[key] += status is api.Status.OK
         self.give(i, api.Outcome(request, attempt, node, status, 0.1, status is api.Status.OK))
 
@@ -189,5 +190,5 @@
     assert made.astray == []
     assert max(rule.nearness for rule in made.rules.values()) <= 1.0
     for ingress in made.ingresses:      # nothing is left open, and all know the newest plan they heard of
-        assert not ingress.moves.out and not ingress.decider.requests.open
+        assert not ingress.moves.in_flight and not ingress.decider.requests.open
         assert all(m.state.value == "planned" for m in ingress.moves.open.values())
