--- a/fennelpoint/cli.py
+++ b/fennelpoint/cli.py
@@ -178,7 +178,7 @@
     LOADS is JSON: units a second by agency.  Nodes count alike.
     """
     from fennelpoint.cells import Node
-    from fennelpoint.cells.rebalancing import fullness, propose
+    from fennelpoint.cells.rebalancing import propose_moves, utilization
 
     made = _assignment(file)
     try:
@@ -189,11 +189,11 @@
     room = {name: float(len(ids)) for name, ids in made.members(
         Node(*word.partition("@")[::2]) for word in words).items() if ids}
     homes = {agency: made.cell_of(agency) for agency in told}
-    for name, full in fullness(told, homes, room).items():
+    for name, full in utilization(told, homes, room).items():
         click.echo(f"{name}: {room[name]:g} nodes, {full:.2f} units a second each")
-    for move in (moves := propose(told, homes, room, most, {}, 0.0, 0.0)):
+    for move in (moves := propose_moves(told, homes, room, most, {}, 0.0, 0.0)):
         click.echo(f"larchwing cells move {file} {move.agency:016x} {move.target}    # the fullest then: "
-                   f"{move.fullest:.2f}")
+                   f"{move.max_utilization:.2f}")
     if not moves:
         click.echo("no move gains 2 %")
 
