--- a/fennelpoint/__main__.py
+++ b/fennelpoint/__main__.py
@@ -162,7 +162,7 @@
             config.counter is not None and settings.has_counter) else None
         controller_class = None
         if config.cell_plan is not None:
-            from fennelpoint.cells.cell_controller import CelledController as controller_class
+            from fennelpoint.cells.cell_controller import CellController as controller_class
         self.host = ControllerHost(loop, settings, config.seed, self.backends, self.counter, self.budget,
                                    controller_class)
         self.discovery = Discovery(loop, config.discovery, settings, self.follow)
--- a/fennelpoint/cells/__init__.py
+++ b/fennelpoint/cells/__init__.py
@@ -1,4 +1,4 @@
-"""Cells: agencies confined to subsets of the booking nodes (docs/cells.md)."""
+"""Cells: confine each agency to a subset of the booking nodes (docs/cells.md)."""
 
 from fennelpoint.cells.assign import Assignment, Node
 from fennelpoint.cells.plan import Plan, read_plan
--- a/fennelpoint/cells/plan_edit.py
+++ b/fennelpoint/cells/plan_edit.py
@@ -1,4 +1,4 @@
-"""Changes of a plan's file that keep its words: an agency moved, the version one higher, written whole."""
+"""Edits a plan file in place: moves an agency and increments the version, keeping comments and layout."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from fennelpoint.validation_errors import Fault, FaultyFile
 
 
-def move(path: str | Path, agency: str, cell: str) -> tuple[int, str]:
-    """Put an agency into a cell; the new version and where it was.
+def move_agency(path: str | Path, agency: str, cell: str) -> tuple[int, str]:
+    """Move an agency to a cell; return the new version and the previous cell.
 
-    The file is replaced by a sound one or not at all.  Raises FaultyFile.
+    The file is replaced atomically by a valid one, or not at all.  Raises FaultyFile.
     """
     path = Path(path)
     plan = read_plan(path)
-    before = Assignment(plan).cell_of(int(agency, 16))
-    names = [spec.name for spec in plan.cells]
-    if cell not in names:
+    previous_cell = Assignment(plan).cell_of(int(agency, 16))
+    cell_names = [spec.name for spec in plan.cells]
+    if cell not in cell_names:
         raise FaultyFile([Fault(str(path), 0, "cells", f"there is no cell {cell!r}: there are "
-                                + (", ".join(names) or "none, as agencies are in shards by hash"))])
+                                + (", ".join(cell_names) or "none, as agencies are in shards by hash"))])
     document = tomlkit.parse(path.read_text())
     for table in document["cells"]:
         listed = table.get("agencies")
@@ -36,18 +36,18 @@
         elif listed is not None and agency in listed:
             listed.remove(agency)
     document["version"] = plan.version + 1
-    handle, draft = tempfile.mkstemp(dir=path.parent, prefix=path.name, suffix=".draft")
+    descriptor, draft = tempfile.mkstemp(dir=path.parent, prefix=path.name, suffix=".draft")
     try:
-        with os.fdopen(handle, "w") as file:
+        with os.fdopen(descriptor, "w") as file:
             file.write(tomlkit.dumps(document))
             file.flush()
             os.fsync(file.fileno())
         os.chmod(draft, path.stat().st_mode & 0o777)
-        if (made := Assignment(read_plan(draft))).cell_of(int(agency, 16)) != cell:
-            where = made.cell_of(int(agency, 16))
-            raise FaultyFile([Fault(str(path), 0, "cells", f"{agency} would be in {where}")])
+        if (assignment := Assignment(read_plan(draft))).cell_of(int(agency, 16)) != cell:
+            actual_cell = assignment.cell_of(int(agency, 16))
+            raise FaultyFile([Fault(str(path), 0, "cells", f"{agency} would be in {actual_cell}")])
         os.rename(draft, path)
     except BaseException:
         os.unlink(draft)
         raise
-    return plan.version + 1, before
+    return plan.version + 1, previous_cell
--- a/fennelpoint/cli.py
+++ b/fennelpoint/cli.py
@@ -207,10 +207,10 @@
 
     The ingresses go by it once they get SIGHUP.
     """
-    from fennelpoint.cells.plan_edit import move
+    from fennelpoint.cells.plan_edit import move_agency
 
     try:
-        version, before = move(file, _agency(agency), cell)
+        version, before = move_agency(file, _agency(agency), cell)
     except FaultyFile as error:
         return _end_with(error.faults, False)
     click.echo(f"version {version}: {agency} moves from {before} to {cell}; send the ingresses SIGHUP")
--- a/fennelpoint/system/proxy/controller.py
+++ b/fennelpoint/system/proxy/controller.py
@@ -12,7 +12,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.bookkeeping import may_send
-from fennelpoint.cells.cell_controller import CelledController
+from fennelpoint.cells.cell_controller import CellController
 from fennelpoint.state import PendingRequest
 from fennelpoint.system.proxy.events import (
     BackendPlacement,
@@ -28,7 +28,7 @@
 from fennelpoint.system.proxy.retry_budget import RetryBudget
 
 
-class ProxyController(CelledController):
+class ProxyController(CellController):
     """The decisions of one proxy."""
 
     QUOTAS, SELECTION, WAIT_QUEUE = LeasedQuotas, NearestBackend, TimeoutQueue
--- a/fennelpoint/system/proxy/placement.py
+++ b/fennelpoint/system/proxy/placement.py
@@ -7,7 +7,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.bookkeeping import Context, may_send
-from fennelpoint.cells.cell_controller import Confined
+from fennelpoint.cells.cell_controller import CellSelection
 from fennelpoint.selection import INITIAL_LATENCY_AIMS
 from fennelpoint.state import Backend, ConcurrencyLimiter, PendingRequest
 from fennelpoint.system.proxy.events import BackendPlacement
@@ -18,7 +18,7 @@
 LATENCY_JITTER = 0.15  # of a usual latency, random in each choice: proxies do not see each other's requests
 
 
-class NearestBackend(Confined):
+class NearestBackend(CellSelection):
     """Chooses the backend with the least expected time to the answer among those with a free slot."""
 
     def __init__(self, context: Context) -> None:
--- a/tests/cells/test_random_moves.py
+++ b/tests/cells/test_random_moves.py
@@ -15,7 +15,7 @@
 
 from fennelpoint import interface as api
 from fennelpoint.cells.assign import Assignment, Node
-from fennelpoint.cells.cell_controller import CelledController
+from fennelpoint.cells.cell_controller import CellController
 from fennelpoint.cells.moves import MoveTracker
 from fennelpoint.cells.plan import CellSpec, Plan
 from fennelpoint.testing.ceilings import Exact
@@ -39,7 +39,7 @@
     def __init__(self, me: int, plan: Plan, now: float) -> None:
         settings = make_settings(me=me, ingresses=INGRESSES, plans=[DEAR], most_units=1.0, has_counter=False)
         self.decider, self.moves, self.assignment = (
-            CelledController(settings, me, now), MoveTracker(), Assignment(plan))
+            CellController(settings, me, now), MoveTracker(), Assignment(plan))
         self.nodes: set[str] = set()
 
     def members(self) -> dict[str, frozenset[str]]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 
 from fennelpoint import handover
 from fennelpoint import interface as api
-from fennelpoint.cells.cell_controller import CelledController
+from fennelpoint.cells.cell_controller import CellController
 from fennelpoint.fleet import plan_parameters
 from fennelpoint.invariants import violations
 
@@ -67,7 +67,7 @@
     ids: int = 0
 
     def __post_init__(self) -> None:
-        self.control = CelledController(self.settings, seed=7, now=self.now)
+        self.control = CellController(self.settings, seed=7, now=self.now)
         handover.attach(self.control)
         plan_parameters.attach(self.control)
         self._collect(self.control.start(self.now))
