--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -445,8 +445,8 @@
         new, before = self.ready[act.digest], self.acting
         if self.cells is not None and new is not before:
             plan = new.content.cells
-            self.cells.ruled = act.number if plan is not None else 0
-            self.cells.take(replace(plan, version=act.number) if plan is not None else self.ingress.config.cell_plan)
+            self.cells.fleet_version = act.number if plan is not None else 0
+            self.cells.apply(replace(plan, version=act.number) if plan is not None else self.ingress.config.cell_plan)
         routes = self.ingress.components.get("routes")
         if routes is not None and new is not before:
             self.ingress.server.reader.take(new.table if new.table is not None else self.own_table)
--- a/fennelpoint/net/controller_host.py
+++ b/fennelpoint/net/controller_host.py
@@ -39,8 +39,8 @@
     """Confines customers to cells, if the operator file names a plan."""
 
     def cell_of(self, customer: int) -> str: ...
-    def sent(self, customer: int, node: str) -> None: ...
-    def ended(self, customer: int, node: str, status: api.Status) -> None: ...
+    def attempt_sent(self, customer: int, node: str) -> None: ...
+    def attempt_ended(self, customer: int, node: str, status: api.Status) -> None: ...
 
 
 class Source(Protocol):
@@ -315,7 +315,7 @@
                                          open_request is None or open_request.client is None))
         open_request.attempts += 1
         if self.cells is not None:
-            self.cells.sent(open_request.parsed.customer, send.backend)
+            self.cells.attempt_sent(open_request.parsed.customer, send.backend)
         until = min(open_request.deadline, now + send.timeout) if send.timeout else open_request.deadline
         timer: asyncio.TimerHandle | None = None
 
@@ -324,7 +324,7 @@
                 timer.cancel()
             open_request.exchanges.pop(number, None)
             if self.cells is not None:
-                self.cells.ended(open_request.parsed.customer, send.backend, status)
+                self.cells.attempt_ended(open_request.parsed.customer, send.backend, status)
             if open_request.is_streaming:
                 is_complete = status is api.Status.OK
                 self._finish(open_request,
--- a/tests/cells/test_cells_serving.py
+++ b/tests/cells/test_cells_serving.py
@@ -225,7 +225,7 @@
             for _ in range(6):
                 await ask(made, of(EAST))
             assert not new.seen     # no cell names it, and none takes a part of the rest
-            assert made.ingress.host.cells.told["east"] == {"s-0"}
+            assert made.ingress.host.cells.posted_members["east"] == {"s-0"}
             new.stop()
 
     run(play())
@@ -290,8 +290,8 @@
 
     async def both() -> None:
         result[True] = await play(True)
-        assert "agency 0000000000000011 is kept in jail" in caplog.text
-        assert caplog.text.count("is kept in jail") == 1    # nobody else is accused
+        assert "agency 0000000000000011 is quarantined in jail" in caplog.text
+        assert caplog.text.count("is quarantined in jail") == 1    # nobody else is accused
         result[False] = await play(False)
 
     run(both(), 60.0)
