--- a/fennelpoint/system/proxy/program.py
+++ b/fennelpoint/system/proxy/program.py
@@ -18,8 +18,8 @@
 from fennelpoint.state import Cut
 from fennelpoint.system.actions import Send
 from fennelpoint.system.config_versions import compile_version
-from fennelpoint.system.events import Event, say
-from fennelpoint.system.http_server import Asking, Reply, Web
+from fennelpoint.system.events import Event, log_event
+from fennelpoint.system.http_server import ApiRequest, HttpServer, Reply
 from fennelpoint.system.mesh import Mesh
 from fennelpoint.system.proxy.controller import ProxyController
 from fennelpoint.system.proxy.controller_host import ProxyBackends, ProxyHost
@@ -43,8 +43,8 @@
     UnitsReceived,
 )
 from fennelpoint.system.registry.backend_table import DRAINING, GONE
-from fennelpoint.system.settings import Settings, address
-from fennelpoint.system.throttle import Paced
+from fennelpoint.system.settings import Settings, parse_address
+from fennelpoint.system.throttle import Throttle
 
 TICK_S = 0.05
 SWEEP_INTERVAL_S = 0.25     # between checks of idle connections
@@ -92,11 +92,11 @@
                                    take_request_counts=self.reader.take_request_counts)
         self.mesh = Mesh(loop, "span", settings.ip_address, settings.internal_ports, self.handle_message,
                          self.handle_connection, RECONNECT_INTERVAL_S)
-        self.web = Web(loop, self.handle_readiness)
+        self.web = HttpServer(loop, self.handle_readiness)
         self.logged_cut: Cut | None = None  # the admission cut that was logged last
         self.evacuated_zones: frozenset = frozenset()
         self.restored_at: dict[str, float] = {}     # by zone: its backends are in cold start for a while
-        self.refresh_throttle = Paced(REFRESH_INTERVAL_S)
+        self.refresh_throttle = Throttle(REFRESH_INTERVAL_S)
         self.refresh_timer: asyncio.TimerHandle | None = None
         self.stopped = loop.create_future()
         self.check_shutdown = GracefulShutdown(loop, self.life_cycle, self.server, self.host, self._end).check
@@ -105,7 +105,7 @@
         """Whether requests may be judged by the configuration in force; records a violation of its age bound."""
         now = time.monotonic()
         is_valid = self.session.has_valid_lease(now)
-        if is_valid and (age := now - self.session.confirmed_at) > self.settings.rule_bounds.newest_within_s:
+        if is_valid and (age := now - self.session.confirmed_at) > self.settings.rule_bounds.max_staleness_s:
             violations.record(Invariant.DECIDED_BY_THE_NEWEST, f"version last confirmed as newest {age:.2f} s ago")
         return is_valid
 
@@ -119,7 +119,7 @@
         self._tick()
         self._sweep()
 
-    def handle_readiness(self, request: Asking) -> None:
+    def handle_readiness(self, request: ApiRequest) -> None:
         request.answer(Reply(200 if self.life_cycle.is_ready and self.has_valid_lease() else 503))
 
     # Session with the core
@@ -173,11 +173,11 @@
         if has_lease and self.refresh_timer is not None:
             self._run_delayed_refresh()     # requests are accepted from now on, so the list must be current
         if not has_lease:
-            say(Event.LAPSED, node=self.settings.node_name, reason=reason)
+            log_event(Event.LAPSED, node=self.settings.node_name, reason=reason)
         self.host.post(api.Barred(not has_lease))
         if has_lease and not self.life_cycle.has_list:
             self.life_cycle.handle(LifeCycleEvent.LISTED, now)
-            say(Event.READY, node=self.settings.node_name)
+            log_event(Event.READY, node=self.settings.node_name)
         elif not self.life_cycle.is_ending:
             self.life_cycle.handle(LifeCycleEvent.ADMIT if has_lease else LifeCycleEvent.BAR, now)
             self.check_shutdown()
@@ -187,12 +187,12 @@
     def _apply_config(self, number: int, data: bytes) -> None:
         version = compile_version(zlib.decompress(data))
         self.reader.apply_version(version)
-        self.server.idle_timeout_s = max(5.0, version.limits.idle_timeout)
-        self.server.head_timeout_s = max(2.5, version.limits.header_timeout)
+        self.server.idle_timeout_s = max(5.0, version.limits.idle_timeout_s)
+        self.server.head_timeout_s = max(2.5, version.limits.header_timeout_s)
         self.update_catalogue()
         self._update_shares()
         self._refresh_backends()
-        say(Event.APPLIED, node=self.settings.node_name, version=number)
+        log_event(Event.APPLIED, node=self.settings.node_name, version=number)
 
     def update_catalogue(self) -> None:
         """Post all classes, plans and cells to the controller, after a new version, class or cell."""
@@ -201,8 +201,8 @@
         overshoot, slack = (1.0 + QUOTA_OVERSHOOT_FRACTION * bounds.quota_overshoot,
                             QUOTA_SLACK_FRACTION * bounds.quota_slack)
         plans = [api.Plan("public", 1.0)] + [
-            api.Plan(t.name, 8.0 ** -min(t.priority, 10), t.rate * overshoot,
-                     (t.burst * overshoot + slack) * (t.rate > 0.0))
+            api.Plan(t.name, 8.0 ** -min(t.priority, 10), t.rate_per_s * overshoot,
+                     (t.burst_size * overshoot + slack) * (t.rate_per_s > 0.0))
             for t in self.reader.tenants]
         self.host.post(Catalogue(list(self.reader.request_classes), plans))
         self._update_cells()
@@ -221,12 +221,12 @@
         if self.refresh_throttle.add([BACKEND_LIST], now):
             self._refresh_backends()
         elif self.refresh_timer is None:
-            self.refresh_timer = self.loop.call_later(self.refresh_throttle.wait(now), self._run_delayed_refresh)
+            self.refresh_timer = self.loop.call_later(self.refresh_throttle.delay(now), self._run_delayed_refresh)
 
     def _run_delayed_refresh(self) -> None:
         self.refresh_timer.cancel()
         self.refresh_timer = None
-        self.refresh_throttle.take(time.monotonic())
+        self.refresh_throttle.take_all(time.monotonic())
         self._refresh_backends()
 
     def _refresh_backends(self) -> None:
@@ -239,7 +239,7 @@
         for id, backend in session.backends.by_id.items():
             record = backend.report
             try:
-                addresses[id] = address(record.address)
+                addresses[id] = parse_address(record.address)
             except ValueError:
                 continue
             state = api.BackendState.READY
@@ -290,15 +290,15 @@
     def _log_departures(self) -> None:
         departures = self.host.take_departures()
         if departures.clients:
-            say(Event.CLIENTS_LEFT, node=self.settings.node_name, clients=departures.clients, ended=departures.ended,
-                running=departures.running)
+            log_event(Event.CLIENTS_LEFT, node=self.settings.node_name, clients=departures.clients,
+                      ended=departures.ended, running=departures.running)
 
     def _log_cuts(self) -> None:
         """Log the latest decision of admission control, which decides at most every half second."""
         regulation = self.host.controller.regulation
         previous, self.logged_cut = self.logged_cut, regulation.cut
         if self.logged_cut is None and previous is not None:
-            say(Event.RESTORES, node=self.settings.node_name)
+            log_event(Event.RESTORES, node=self.settings.node_name)
         if self.logged_cut is None or self.logged_cut is previous:
             return
         names = {key: tenant.name for key, tenant in enumerate(self.reader.tenants)}
@@ -306,8 +306,8 @@
                         for c, amount in self.logged_cut.takes)
         failing = ", ".join(names.get(c.key, "public") for c in regulation.active.values()
                             if c.ratio > 1.0 and c.rate <= regulation.local_rate(c, self.host.clock()) + 1e-9)
-        say(Event.CUTS, node=self.settings.node_name, cut=cut or "nobody", failing=failing or "nobody",
-            confidence=f"{regulation.fit.predict(regulation.work)[1]:.1f}")
+        log_event(Event.CUTS, node=self.settings.node_name, cut=cut or "nobody", failing=failing or "nobody",
+                  confidence=f"{regulation.fit.predict(regulation.work)[1]:.1f}")
 
     def reload(self, settings: Settings) -> None:
         """Use the seeds of a changed settings file."""
@@ -316,7 +316,7 @@
     def stop(self) -> None:
         """Drain and end within the grace period; `stopped` is set at the end."""
         if not self.life_cycle.is_ending:
-            say(Event.STOP, node=self.settings.node_name)
+            log_event(Event.STOP, node=self.settings.node_name)
             self.life_cycle.handle(LifeCycleEvent.TERM, time.monotonic())
             self.check_shutdown()   # first: a failure to notify the core must not keep this process from ending
             self.session.is_ready = False
