--- a/tests/system/test_graceful_shutdown.py
+++ b/tests/system/test_graceful_shutdown.py
@@ -6,7 +6,7 @@
 from fennelpoint.system.graceful_shutdown import LINGER_S, MAX_SHUTDOWN_S, shutdown_timeout
 from fennelpoint.system.settings import Bounds
 from fennelpoint.system.store.replica import REJOIN_RETRY_S, Replica
-from fennelpoint.testing.core_simulation import play
+from fennelpoint.testing.core_simulation import run_scenario
 
 SITE = """
 core a1 za ra
@@ -19,24 +19,24 @@
 
 
 def test_heartbeats_only_this_machine_received_are_gossiped_and_late_calls_are_refused_with_retry_after() -> None:
-    world = play(SITE)
+    world = run_scenario(SITE)
     registry = world.cores["a1"].registry
     registry.recently_heard_ids = {"s1"}
     messages = {action.to: action.message for action in registry.begin_shutdown(world.now)
                 if getattr(action, "message", [""])[0] == "heard"}
     assert set(messages) == {"roll@b1", "roll@c1"} and all(message[1] == ["s1"] for message in messages.values())
     world.call("GET", "/api/status", None, "a1", "late")
-    (request,) = world.asked["late"]
+    (request,) = world.calls_by_label["late"]
     reply = world.replies[id(request)]
     assert reply.status == 503 and ("Retry-After", "0.2") in reply.headers
 
 
 def test_machines_that_shut_down_at_once_answer_pending_calls_and_exit_in_time() -> None:
-    world = play(SITE + "at 4.01 stop a1 b1 c1\n")
-    assert world.backends["s1"].acked is None
+    world = run_scenario(SITE + "at 4.01 stop a1 b1 c1\n")
+    assert world.backends["s1"].acknowledged_at is None
     world.run(4.01 + MAX_SHUTDOWN_S + 0.1)
-    assert not any(core.up for core in world.cores.values())
-    assert world.backends["s1"].acked is not None       # its drain needed a majority, and got one
+    assert not any(core.is_running for core in world.cores.values())
+    assert world.backends["s1"].acknowledged_at is not None       # its drain needed a majority, and got one
 
 
 def test_a_replica_waits_for_a_rejoining_peer_but_exits_after_the_shutdown_timeout() -> None:
--- a/tests/system/test_invalid_configurations.py
+++ b/tests/system/test_invalid_configurations.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fennelpoint.testing.core_simulation import World, play
+from fennelpoint.testing.core_simulation import CoreSimulation, run_scenario
 
 TENANTS, SERVICES, HOSTS, ROUTES = 140, 3, 20, 3
 TOPOLOGY = """
@@ -99,7 +99,7 @@
     """Sends configurations one after the other, each to the next core machine."""
 
     def __init__(self) -> None:
-        self.world: World = play(TOPOLOGY)
+        self.world: CoreSimulation = run_scenario(TOPOLOGY)
         self.world.run(3.0)
         self.version = 0
         self.send(full_configuration(10, 0))
@@ -108,12 +108,12 @@
     def send(self, value: dict | bytes) -> tuple[int, str]:
         """Returns status and text of the response; (0, "") without one in time."""
         world = self.world
-        label = f"call {len(world.asked)}"
-        world.call("PUT", "/api/configuration", value, list(world.cores)[len(world.asked) % 3], label)
+        label = f"call {len(world.calls_by_label)}"
+        world.call("PUT", "/api/configuration", value, list(world.cores)[len(world.calls_by_label) % 3], label)
         deadline = world.now + RESPONSE_LIMIT_S
         while not world.status(label) and world.now < deadline:
             world.run(world.now + 0.02)
-        reply = world.replies.get(id(world.asked[label][-1]))
+        reply = world.replies.get(id(world.calls_by_label[label][-1]))
         return (0, "") if reply is None else (reply.status, json.dumps(reply.value))
 
     def next_configuration(self) -> dict:
@@ -128,8 +128,8 @@
 
     def check_in_force(self) -> None:
         self.world.run(self.world.now + 1.0)
-        assert {front.version for front in self.world.fronts.values()} == {self.version}
-        assert all(self.world.allows(front) for front in self.world.fronts.values())
+        assert {front.version for front in self.world.proxies.values()} == {self.version}
+        assert all(self.world.may_send_requests(front) for front in self.world.proxies.values())
 
 
 @pytest.mark.parametrize("invalidate", INVALID, ids=lambda invalidate: invalidate.__name__)
@@ -164,7 +164,7 @@
         operator.world.call("PUT", "/api/configuration", invalid, ip, "invalid")
         operator.world.call("PUT", "/api/configuration", valid, ip, "valid")
     operator.world.run(operator.world.now + 2.0)
-    replies = {label: {operator.world.replies[id(request)].status for request in operator.world.asked[label]}
+    replies = {label: {operator.world.replies[id(request)].status for request in operator.world.calls_by_label[label]}
                for label in ("invalid", "valid")}  # fmt: skip
     assert replies == {"invalid": {400}, "valid": {200}}
     operator.version = valid["version"]
--- a/tests/system/test_ports.py
+++ b/tests/system/test_ports.py
@@ -9,7 +9,7 @@
 from fennelpoint.system.calls import CALLS, find_call
 from fennelpoint.system.frames import MAX_MESSAGE_BYTES, BadFrame, Unpacker, pack
 from fennelpoint.system.http_server import ApiRequest, HttpConnection, HttpServer, Reply
-from fennelpoint.testing.core_simulation import World
+from fennelpoint.testing.core_simulation import CoreSimulation
 
 TEXTS = st.text(max_size=8)
 JSON_VALUES = st.recursive(st.none() | st.booleans() | st.integers(-2 ** 40, 2 ** 40) | st.floats() | TEXTS,
@@ -71,12 +71,12 @@
 @example(find_call("control_plane", "PUT", "/api/configuration")[0], {**VALID_CONFIGURATION, "version": 1 << 70})
 @example(find_call("control_plane", "PUT", "/api/configuration")[0], {**VALID_CONFIGURATION, "note": "\ud800"})
 def test_any_json_in_an_api_call_is_refused_with_a_4xx(call, value) -> None:
-    world = World()
+    world = CoreSimulation()
     for ip in ("a1", "b1", "c1"):
-        world.do(["core", ip, f"z{ip}", f"r{ip}"])
+        world.execute(["core", ip, f"z{ip}", f"r{ip}"])
     world.start()
     world.run(0.2)
     request = ApiRequest(call, "i-1", {}, json.dumps(value).encode(), None)
-    world._roll(world.cores["a1"], world.cores["a1"].registry.on_call(request, world.now))
+    world._run_registry_actions(world.cores["a1"], world.cores["a1"].registry.on_call(request, world.now))
     world.run(0.6)
     assert 400 <= world.replies[id(request)].status < 500
