--- a/fennelpoint/cli.py
+++ b/fennelpoint/cli.py
@@ -94,9 +94,9 @@
 
 
 def _agency(text: str) -> str:
-    from fennelpoint.cells.plan import AGENCY, MOST_CUSTOMER
+    from fennelpoint.cells.plan import AGENCY_ID_PATTERN, CUSTOMER_ID_LIMIT
 
-    if AGENCY.fullmatch(text) is None or int(text, 16) >= MOST_CUSTOMER:
+    if AGENCY_ID_PATTERN.fullmatch(text) is None or int(text, 16) >= CUSTOMER_ID_LIMIT:
         raise click.BadParameter(f"{text!r} is no agency: 16 hexadecimal digits, lower case, below 2^33")
     return text
 
@@ -118,7 +118,7 @@
 def cells_show(file: str, nodes: str, as_json: bool) -> None:
     """The cells of a plan, and which of these nodes each has."""
     from fennelpoint.cells import Node
-    from fennelpoint.cells.assign import overlap
+    from fennelpoint.cells.assign import overlap_histogram
 
     made = _assignment(file)
     words = [word.strip() for word in nodes.split(",") if word.strip()]
@@ -127,9 +127,9 @@
         return click.echo(json.dumps({"version": made.plan.version, "cells": {
             name: sorted(ids) for name, ids in members.items()}}, indent=2))
     click.echo(f"version {made.plan.version}, {len(members)} cells")
-    for name in made.names:
+    for name in made.cell_names:
         click.echo(f"{name}: {', '.join(sorted(members[name])) or 'none of these nodes'}")
-    for shared, pairs in sorted(overlap(members).items()):
+    for shared, pairs in sorted(overlap_histogram(members).items()):
         if shared:
             click.echo(f"{pairs} pairs of cells share {shared} nodes")
 
@@ -140,7 +140,7 @@
 def cells_explain(file: str, agency: str) -> None:
     """Which cell an agency (its 16 digits) is in, and why."""
     made, customer = _assignment(file), int(_agency(agency), 16)
-    click.echo(f"{agency} is in {made.cell_of(customer)}: {made.why(customer)}")
+    click.echo(f"{agency} is in {made.cell_of(customer)}: {made.explain(customer)}")
     for cell in made.plan.cells:
         if cell.name == made.cell_of(customer) and cell.spill_to:
             click.echo(f"while that has no node left, up to {cell.spill_share:g} of the attempts of "
@@ -149,7 +149,7 @@
 
 def _loads(file: str) -> dict[int, float]:
     """Units a second of each agency, by its 16 digits; raises FaultyFile."""
-    from fennelpoint.cells.plan import AGENCY
+    from fennelpoint.cells.plan import AGENCY_ID_PATTERN
 
     try:
         told = json.loads(Path(file).read_text())
@@ -158,7 +158,7 @@
     if not isinstance(told, dict):
         raise FaultyFile([Fault(file, 0, "", "it is not an object of agencies and their units a second")])
     faults = [Fault(file, 0, key, "it is no agency: 16 hexadecimal digits") for key in told
-              if AGENCY.fullmatch(key) is None]
+              if AGENCY_ID_PATTERN.fullmatch(key) is None]
     faults += [Fault(file, 0, key, f"{load!r} is no load: a number of 0 or more")
                for key, load in told.items()
                if isinstance(load, bool) or not isinstance(load, int | float) or not 0.0 <= load < 1e12]
@@ -178,7 +178,7 @@
     LOADS is JSON: units a second by agency.  Nodes count alike.
     """
     from fennelpoint.cells import Node
-    from fennelpoint.cells.rebalancing import fullness, propose
+    from fennelpoint.cells.rebalancing import propose_moves, utilization
 
     made = _assignment(file)
     try:
@@ -189,11 +189,11 @@
     room = {name: float(len(ids)) for name, ids in made.members(
         Node(*word.partition("@")[::2]) for word in words).items() if ids}
     homes = {agency: made.cell_of(agency) for agency in told}
-    for name, full in fullness(told, homes, room).items():
+    for name, full in utilization(told, homes, room).items():
         click.echo(f"{name}: {room[name]:g} nodes, {full:.2f} units a second each")
-    for move in (moves := propose(told, homes, room, most, {}, 0.0, 0.0)):
+    for move in (moves := propose_moves(told, homes, room, most, {}, 0.0, 0.0)):
         click.echo(f"larchwing cells move {file} {move.agency:016x} {move.target}    # the fullest then: "
-                   f"{move.fullest:.2f}")
+                   f"{move.max_utilization:.2f}")
     if not moves:
         click.echo("no move gains 2 %")
 
@@ -207,10 +207,10 @@
 
     The ingresses go by it once they get SIGHUP.
     """
-    from fennelpoint.cells.plan_edit import move
+    from fennelpoint.cells.plan_edit import move_agency
 
     try:
-        version, before = move(file, _agency(agency), cell)
+        version, before = move_agency(file, _agency(agency), cell)
     except FaultyFile as error:
         return _end_with(error.faults, False)
     click.echo(f"version {version}: {agency} moves from {before} to {cell}; send the ingresses SIGHUP")
--- a/fennelpoint/fleet/component.py
+++ b/fennelpoint/fleet/component.py
@@ -474,9 +474,9 @@
         new, previous = self.prepared[action.digest], self.active
         if self.cells is not None and new is not previous:
             plan = new.content.cells
-            self.cells.ruled = action.number if plan is not None else 0
-            self.cells.take(replace(plan, version=action.number) if plan is not None
-                            else self.ingress.config.cell_plan)
+            self.cells.fleet_version = action.number if plan is not None else 0
+            self.cells.apply(replace(plan, version=action.number) if plan is not None
+                             else self.ingress.config.cell_plan)
         routes = self.ingress.components.get("routes")
         if routes is not None and new is not previous:
             self.ingress.server.reader.take(new.table if new.table is not None else self.configured_table)
